--- a/modules/routing/Router.h
+++ b/modules/routing/Router.h
@@ -12,85 +12,88 @@
 
 namespace cuminrail {
 
-/** Constants of the routing policy. docs/ROUTING.md says how they were chosen. */
+/** Tunables of the routing policy; docs/ROUTING.md explains them. */
 struct RouterOptions
 {
-    /** Upstreams sampled at random for each request, beside the holders of its prefix. */
-    std::uint32_t samples = 8;
-    /** A holder of the prefix is passed over above this multiple of the sampled load. */
+    /** Upstreams sampled at random for each request, in addition to the holders of its prefix. */
+    std::uint32_t sampleSize = 8;
+    /** A holder of the prefix is skipped when its load exceeds this multiple of the sample mean. */
     double affinityLoadBound = 1.5;
-    /** How fast a load report loses its weight. */
+    /** Age at which a load report has half the weight of a fresh one. */
     Millis reportHalfLife = Millis(500);
-    /** Added to the predicted time of an upstream in another failure domain. */
-    Millis otherDomainCost = Millis(2);
+    /** Added to the predicted time to first token of an upstream in another failure domain. */
+    Millis crossDomainPenalty = Millis(2);
     /**
-        Each instance likes some upstreams better, by up to this much predicted time. Instances
-        then differ in their order of preference, and each knows best the load of those it likes.
+        Range of a fixed, per-instance offset on each upstream's predicted time. Instances thus
+        rank equally loaded upstreams differently, and each has the most exact load figures for
+        the upstreams that it prefers, because it sent most of their requests itself.
     */
     Millis preferenceSpread = Millis(100);
-    /** Added for a while to the predicted time of an upstream whose last request failed. */
-    Millis failureCost = Millis::seconds(2);
-    Millis failureMemory = Millis::seconds(5);
-    /** Share of a decode engine's slots below which it may also read prompts. */
+    /** Added to the predicted time of an upstream whose last request failed... */
+    Millis failurePenalty = Millis::seconds(2);
+    /** ... for this long after the failure. */
+    Millis failureRetention = Millis::seconds(5);
+    /** A decode engine may also run prefill while less than this share of its slots is in use. */
     double decodeHeadroom = 0.6;
-    /** Size of the KV cache of one token, and speed between engines. */
+    /** KV cache size of one token, and transfer rate between engines. */
     double kvBytesPerToken = 131072;
     double kvBytesPerSecond = 1e10;
-    /** Work with a deadline goes to reclaimable upstreams with at least this much slack. */
+    /** Requests with a deadline may use reclaimable upstreams with at least this much slack. */
     Millis reclaimableSlack = Millis::seconds(20);
-    /** How much longer the wait may be at a reclaimable upstream before a regular one is taken. */
+    /** How much longer the predicted wait may be at a reclaimable upstream than at a regular one.
+     */
     Millis reclaimableBonus = Millis::seconds(1);
 };
 
-/** What a request in progress holds of the live counters. Kept by the caller until finished(). */
+/** What one request in progress added to the live counters. Kept by the caller until finished(). */
 struct RoutingTicket
 {
     UpstreamIndex upstream = noIndex;
     UpstreamIndex prefill = noIndex;
     std::int64_t promptTokens = 0;
     std::int64_t outputTokens = 0;
-    /** Prompt tokens that were to be read there before this request's own. */
-    std::int64_t queuedAhead = 0;
-    /** What the engine is said to read alone; bounds what is learnt. */
+    /** Prompt tokens queued for prefill at the engine ahead of this request. */
+    std::int64_t promptTokensAhead = 0;
+    /** The engine's configured prefill rate; bounds the measured one. */
     double nominalPrefillRate = 0;
     Millis startedAt;
     bool sawFirstToken = false;
 };
 
 /**
-    Chooses the upstream for each request, and learns from how requests go.
+    Selects the upstream for each request and updates the live counters from its progress.
 
-    Has no state of its own beside the shared LiveLoads and PrefixHints, which are made of
-    atomics: all request threads may use one Router at once, each with its own RandomHook. A
-    decision allocates nothing.
+    All mutable state is in the shared LiveLoads and PrefixHints, which are made of atomics: all
+    request threads may use one Router concurrently, each with its own RandomHook. A selection
+    allocates no memory.
 
-    A request's life: choose(), started() right before the first byte is sent, firstToken(),
-    finished(). Each started() has exactly one finished().
+    Call order for a request: choose(), started() right before the first byte is sent,
+    firstToken(), finished(). Each started() must be followed by exactly one finished().
 */
 class Router
 {
 public:
-    /** @param preferenceSeed  differs between instances; 0 for no preferences */
+    /** @param preferenceSeed  must differ between instances; 0 disables preferences */
     Router(LiveLoads &loads, PrefixHints &hints, RouterOptions options = RouterOptions(),
            std::uint64_t preferenceSeed = 0);
 
     /**
-        Returns where the request should go, or nothing with the reason ("no_upstream").
+        Returns the upstream for the request, or nothing with the reason ("no_upstream").
 
-        @param table  the snapshot in force; must live as long as the call
+        @param table  the current snapshot; must outlive the call
     */
     std::optional<RoutingChoice> choose(const RoutingRequest &request, const RoutingTable &table,
                                         Millis now, const RandomHook &random,
                                         Reason *lastReason = nullptr) const;
 
-    /** The request is about to be sent. */
+    /** Counts a request that is about to be sent. */
     RoutingTicket started(const RoutingRequest &request, const RoutingChoice &choice,
                           const RoutingTable &table, Millis now);
 
-    /** The first token of the answer arrived. */
+    /** Call when the first token of the response arrives: prefill is done. */
     void firstToken(RoutingTicket &ticket, Millis now);
 
-    /** The attempt is over. The ticket must not be used again. */
+    /** Call when the attempt has ended. The ticket must not be used afterwards. */
     void finished(RoutingTicket &ticket, UpstreamOutcome outcome, Millis now);
 
     const RouterOptions &options() const { return options_; }
--- a/modules/routing/Router_test.cpp
+++ b/modules/routing/Router_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr Millis start = Millis::seconds(1000);
 
-/** A small fleet: engines in three failure domains, one model, two customers of one team. */
+/** A fleet with engines in three failure domains, one model, and two customers of one team. */
 struct Fleet
 {
     explicit Fleet(int engines)
@@ -52,13 +52,13 @@
 
     RoutingRequest request(std::uint32_t promptTokens = 400)
     {
-        RoutingRequest made;
-        made.pool = *table.findModel("m");
-        made.customer = *table.findCustomer(CustomerId("one"));
-        made.domain = 0;
-        made.promptTokens = promptTokens;
-        made.expectedOutputTokens = 100;
-        return made;
+        RoutingRequest result;
+        result.pool = *table.findModel("m");
+        result.customer = *table.findCustomer(CustomerId("one"));
+        result.domain = 0;
+        result.promptTokens = promptTokens;
+        result.expectedOutputTokens = 100;
+        return result;
     }
 
     RoutingChoice choose(const RoutingRequest &request, Millis now = start)
@@ -68,8 +68,8 @@
         return *choice;
     }
 
-    std::map<UpstreamIndex, int> spread(const RoutingRequest &request, int count,
-                                        Millis now = start)
+    std::map<UpstreamIndex, int> dispatch(const RoutingRequest &request, int count,
+                                          Millis now = start)
     {
         std::map<UpstreamIndex, int> chosen;
         for (int i = 0; i < count; ++i) {
@@ -97,39 +97,39 @@
 
 } // namespace
 
-TEST_CASE("own outstanding work spreads requests although the reports never change")
+TEST_CASE("own requests in progress spread the load while reports do not change")
 {
-    // The engines published their load a second ago, and one of them was idle then. Were the
-    // report alone believed, everything would pile up there and callers would see first tokens
-    // late while other engines idle.
+    // The engines' reports are a second old, and one engine was idle then. Routing by the reports
+    // alone would send every request there, with late first tokens while other engines idle.
     Fleet fleet(9);
     for (UpstreamIndex i = 0; i < 9; ++i)
         fleet.loads.report(i, {i == 4 ? 0U : 8U, 0, 0}, Millis(1000), start);
-    const auto chosen = fleet.spread(fleet.request(), 90);
+    const auto chosen = fleet.dispatch(fleet.request(), 90);
     CHECK(chosen.size() == 9);
     for (const auto &[upstream, count] : chosen)
         CHECK(count < 25);
 }
 
-TEST_CASE("many instances with the same stale report do not all choose the same engine")
+TEST_CASE("instances with the same old report do not all choose the same engine")
 {
-    // Six instances read the same old report. With a plain minimum each of them would send its
-    // next requests to the one engine that looked idle.
+    // Six instances read the same old report. By taking the plain minimum, all of them would send
+    // their next requests to the one engine that was idle.
     std::map<UpstreamIndex, int> chosen;
     for (std::uint64_t instance = 0; instance < 6; ++instance) {
         Fleet fleet(20);
         fleet.random = seededRandom(100 + instance);
         for (UpstreamIndex i = 0; i < 20; ++i)
             fleet.loads.report(i, {i == 3 ? 0U : 4U, 0, 0}, Millis(800), start);
-        for (const auto &[upstream, count] : fleet.spread(fleet.request(), 20))
+        for (const auto &[upstream, count] : fleet.dispatch(fleet.request(), 20))
             chosen[upstream] += count;
     }
     CHECK(chosen[3] < 30);
     CHECK(chosen.size() >= 15);
 }
 
-TEST_CASE("a prompt goes where its prefix is, until that engine is much busier than others")
+TEST_CASE("a prompt goes to the engine that has its prefix, unless that engine is overloaded")
 {
+    // Routing by prefix alone would overload the engine that holds a popular prefix.
     Fleet fleet(9);
     const std::string prompt = textOf(8000, 'p');
     const PrefixChain chain =
@@ -150,10 +150,10 @@
     CHECK(fleet.choose(request, start + Millis::seconds(1)).upstream != first.upstream);
 }
 
-TEST_CASE("equal prompts of two customers share no prefix hash")
+TEST_CASE("equal prompts of two customers have no prefix hash in common")
 {
-    // Two rival chambers send the same public law text. If the second one's first token came
-    // fast because of the first one's cache, it would learn what the rival works on.
+    // Two competing customers send the same public text. If the second one got a fast first token
+    // from the first one's cache entry, it would learn what its competitor works on.
     Fleet fleet(3);
     const std::string prompt = textOf(4096, 'x');
     const PrefixChain one = prefixChain(customerSeed("one"), prompt);
@@ -163,10 +163,10 @@
         CHECK(one[i].hash != two[i].hash);
 }
 
-TEST_CASE("an engine that leaves gets nothing new, also when a lagging list has it back")
+TEST_CASE("a leaving engine gets no new work, even when a lagging list shows it as live")
 {
-    // The platform announces that an engine leaves; a list read later is an older copy and has
-    // it as live. New work sent there would be cut when the engine goes.
+    // The platform reports an engine as leaving, but a list read afterwards is an older copy that
+    // shows it as live. Requests sent there would be cut off when the engine stops.
     Fleet fleet(3);
     fleet.facts.engines[UpstreamId("e1")] = {5, EngineRole::Mixed, {}, {}};
     CHECK(fleet.facts.leaving.mark({UpstreamId("e1"), 5}));
@@ -174,18 +174,20 @@
     CHECK_FALSE(fleet.facts.leaving.mark({UpstreamId("e1"), 4}));
     fleet.build();
     const UpstreamIndex leaving = fleet.indexes.upstreams.find(UpstreamId("e1"));
-    CHECK(fleet.spread(fleet.request(), 60).count(leaving) == 0);
+    CHECK(fleet.dispatch(fleet.request(), 60).count(leaving) == 0);
 
-    SUBCASE("its next life gets work again")
+    SUBCASE("its next incarnation gets work again")
     {
         fleet.facts.engines[UpstreamId("e1")].incarnation = 6;
         fleet.build();
-        CHECK(fleet.spread(fleet.request(), 60).count(leaving) == 1);
+        CHECK(fleet.dispatch(fleet.request(), 60).count(leaving) == 1);
     }
 }
 
-TEST_CASE("what may run on reclaimable engines")
+TEST_CASE("only repeatable work with slack runs on reclaimable engines")
 {
+    // Reclaimable engines can be withdrawn at any time. Other work sent there would end with an
+    // unknown outcome or miss its deadline.
     struct Row
     {
         const char *what;
@@ -210,25 +212,26 @@
         fleet.settings.fleet.engines[2].costClass = "reclaimable";
         fleet.settings.teams[0].reclaimableShare = row.share;
         fleet.build();
-        TeamWork &work = fleet.loads.team(0);
-        work.allTokens = 1000000;
+        TeamUsage &usage = fleet.loads.team(0);
+        usage.allTokens = 1000000;
         RoutingRequest request = fleet.request();
         request.repeatable = row.repeatable;
         request.priority = row.priority;
         request.slack = row.slack;
-        CHECK((fleet.spread(request, 40).count(2) == 1) == row.allowed);
+        CHECK((fleet.dispatch(request, 40).count(2) == 1) == row.allowed);
     }
 }
 
-TEST_CASE("a team's work on reclaimable engines stays within its share")
+TEST_CASE("a team's work on reclaimable engines stays within the team's share")
 {
+    // Half of the engines are reclaimable and cheaper; without the bound all work would go there.
     Fleet fleet(4);
     for (std::size_t i : {0U, 1U})
         fleet.settings.fleet.engines[i].costClass = "reclaimable";
     fleet.build();
     RoutingRequest request = fleet.request();
     request.priority = Priority::Batch;
-    const auto chosen = fleet.spread(request, 200);
+    const auto chosen = fleet.dispatch(request, 200);
     int reclaimable = 0;
     for (const auto &[upstream, count] : chosen)
         reclaimable += upstream < 2 ? count : 0;
@@ -236,13 +239,13 @@
     CHECK(reclaimable >= 80);
 }
 
-TEST_CASE("an engine whose requests fail is ejected, whatever its health check says")
+TEST_CASE("an engine whose requests fail is ejected without regard to its health check")
 {
-    // The engine's health page is fine, but each request ends in an error after a moment. Callers
+    // The engine's health check passes, but every request to it fails. Without ejection callers
     // would see a steady share of failures.
     Fleet fleet(6);
-    std::vector<Event> seen;
-    OutlierEjector ejector({}, [&](const Event &event) { seen.push_back(event); });
+    std::vector<Event> events;
+    OutlierEjector ejector({}, [&](const Event &event) { events.push_back(event); });
     RoutingRequest request = fleet.request();
     int failures = 0;
     Millis now = start;
@@ -255,20 +258,20 @@
                               now);
         ejector.evaluate(fleet.table, fleet.loads, now);
     }
-    REQUIRE(seen.size() == 1);
-    CHECK(seen[0].fields[0].second == "e3");
-    // After each failure it is left alone for a while, also before it is ejected.
+    REQUIRE(events.size() == 1);
+    CHECK(events[0].fields[0].second == "e3");
+    // Each failure adds a temporary penalty, so it gets few requests even before the ejection.
     CHECK(failures <= 10);
     const Millis ejectedUntil(fleet.loads.upstream(3).ejectedUntil.load());
-    CHECK(fleet.spread(request, 60, ejectedUntil - Millis(1)).count(3) == 0);
+    CHECK(fleet.dispatch(request, 60, ejectedUntil - Millis(1)).count(3) == 0);
     const Millis later = std::max(now, ejectedUntil) + Millis::seconds(6);
-    CHECK(fleet.spread(request, 60, later).count(3) == 1);
+    CHECK(fleet.dispatch(request, 60, later).count(3) == 1);
 }
 
-TEST_CASE("when everything fails only a bounded share is ejected")
+TEST_CASE("only a bounded share of engines is ejected when all of them fail")
 {
-    // A bad model version or this instance's own network makes requests fail everywhere. Ejecting
-    // all engines would turn many errors into nothing but errors.
+    // A bad model version or a fault in this instance's network makes requests fail everywhere.
+    // Ejecting all engines would turn a share of errors into errors only.
     Fleet fleet(9);
     OutlierEjector ejector({}, ignoreEvents());
     for (int round = 0; round < 5; ++round) {
@@ -282,16 +285,18 @@
     CHECK(ejected == 3);
 }
 
-TEST_CASE("with all members ejected, requests still go somewhere")
+TEST_CASE("ejections are ignored when all members are ejected")
 {
+    // Refusing every request would be worse than sending it to an ejected engine.
     Fleet fleet(3);
     for (UpstreamIndex i = 0; i < 3; ++i)
         fleet.loads.upstream(i).ejectedUntil = (start + Millis::minutes(1)).count();
     CHECK(fleet.choose(fleet.request()).reason == RoutingReason::Panic);
 }
 
-TEST_CASE("a retry avoids where it failed, unless there is nothing else")
+TEST_CASE("a retry avoids the upstreams already tried, unless there is no other")
 {
+    // A retry at the same faulty engine would fail again and use up the caller's attempts.
     Fleet fleet(2);
     RoutingRequest request = fleet.request();
     request.tried[0] = 0;
@@ -301,8 +306,10 @@
     CHECK(fleet.choose(request).reason == RoutingReason::Panic);
 }
 
-TEST_CASE("reading and writing at different engines, where it pays")
+TEST_CASE("prefill and decode run at different engines where this is faster")
 {
+    // A prefill at a busy decode engine delays the responses in progress there, while moving the
+    // KV cache costs time of its own.
     Fleet fleet(6);
     for (std::size_t i = 0; i < 6; ++i)
         fleet.settings.fleet.engines[i].role = i < 2 ? "prefill" : "decode";
@@ -310,7 +317,7 @@
     RoutingRequest request = fleet.request(6000);
     request.kvTransfer = true;
 
-    SUBCASE("decode engines are busy: the prompt is read at a prefill engine")
+    SUBCASE("decode engines are busy: prefill runs at a prefill engine")
     {
         for (UpstreamIndex i = 2; i < 6; ++i)
             fleet.loads.upstream(i).requests = 28;
@@ -319,13 +326,13 @@
         CHECK(choice.prefill < 2);
         CHECK(choice.upstream >= 2);
     }
-    SUBCASE("prefill engines are behind and decode engines have headroom: read there")
+    SUBCASE("prefill engines have a backlog: prefill runs at a decode engine with free slots")
     {
         for (UpstreamIndex i = 0; i < 2; ++i)
             fleet.loads.upstream(i).promptTokens = 60000;
         CHECK(fleet.choose(request).reason == RoutingReason::PrefillOnDecode);
     }
-    SUBCASE("the caller cannot move a cache: one engine does both")
+    SUBCASE("the caller cannot transfer a KV cache: one engine runs both")
     {
         request.kvTransfer = false;
         const RoutingChoice choice = fleet.choose(request);
@@ -334,8 +341,9 @@
     }
 }
 
-TEST_CASE("counters return to zero after each kind of end")
+TEST_CASE("counters return to zero after requests that end in any way")
 {
+    // A counter that is not decremented would make an idle engine look loaded for good.
     Fleet fleet(6);
     for (std::size_t i = 0; i < 6; ++i)
         fleet.settings.fleet.engines[i].role = i < 3 ? "prefill" : "decode";
@@ -358,10 +366,10 @@
     }
 }
 
-TEST_CASE("a gap in an engine's cache events makes its hints worthless")
+TEST_CASE("a gap in an engine's cache events is detected and its hints can be removed")
 {
-    // Events between two received ones were lost, and may have been evictions. Kept hints would
-    // send a customer's prompts to an engine that reads them all anew.
+    // The lost events may have been evictions. If the hints were kept, a customer's prompts would
+    // go to an engine that has to prefill all of them from scratch.
     CacheEventCursor cursor;
     CHECK(cursor.accept(7));
     CHECK(cursor.accept(8));
@@ -380,8 +388,9 @@
     CHECK(hints.find(chain, start).count == 0);
 }
 
-TEST_CASE("hints lose confidence and then go")
+TEST_CASE("hints lose confidence with age and then expire")
 {
+    // Engines evict old prefixes, and their events may be lost.
     PrefixHints hints(256);
     const PrefixChain chain = prefixChain(customerSeed("one"), textOf(2048, 'q'));
     hints.remember(chain, 3, start);
@@ -391,17 +400,19 @@
     CHECK(hints.find(chain, start + Millis::minutes(11)).count == 0);
 }
 
-TEST_CASE("services: the longest prefix counts, and what may be repeated")
+TEST_CASE("a service call gets the rule with the longest matching path")
 {
+    // A call matched to the wrong rule could be retried although that is unsafe, or run without an
+    // idempotency key.
     Fleet fleet(1);
-    ServiceSettings lodging;
-    lodging.name = "lodging";
-    lodging.prefix = "/services/lodging/";
-    lodging.calls = {{"POST", "/bundles", false, true},
+    ServiceSettings service;
+    service.name = "lodging";
+    service.prefix = "/services/lodging/";
+    service.calls = {{"POST", "/bundles", false, true},
                      {"POST", "/drafts/", true, false},
                      {"PUT", "/", false, true}};
-    lodging.upstreams = {{UpstreamId("s0"), "10.0.1.0:80", FailureDomainId("a")}};
-    fleet.settings.fleet.services = {lodging};
+    service.upstreams = {{UpstreamId("s0"), "10.0.1.0:80", FailureDomainId("a")}};
+    fleet.settings.fleet.services = {service};
     fleet.build();
 
     struct Row
@@ -432,10 +443,10 @@
     CHECK(fleet.table.upstream(fleet.choose(request).upstream).id == UpstreamId("s0"));
 }
 
-TEST_CASE("a new version serves alone once half of the engines have it")
+TEST_CASE("a new model version serves alone once half of the engines have loaded it")
 {
-    // Only one engine has loaded the new version yet. Were it alone to count, all requests would
-    // go to it and fail there.
+    // Only one engine has loaded the new version so far. If it alone served the model, it would get
+    // all requests and fail under them.
     Fleet fleet(4);
     const auto serving = [&](int updated) {
         for (int i = 0; i < 4; ++i) {
@@ -452,8 +463,9 @@
     CHECK(serving(4) == 4);
 }
 
-TEST_CASE("engines without the adapter, or in no role, get nothing")
+TEST_CASE("engines without the requested adapter or without a role get no requests")
 {
+    // Such an engine would answer the request with an error.
     Fleet fleet(6);
     fleet.settings.fleet.models[0].adapters = {"law"};
     fleet.facts.engines[UpstreamId("e4")] = {1, EngineRole::Mixed, {}, {"law"}};
@@ -461,13 +473,14 @@
     fleet.build();
     RoutingRequest request = fleet.request();
     request.adapter = *fleet.table.findAdapter("law");
-    const auto chosen = fleet.spread(request, 30);
+    const auto chosen = fleet.dispatch(request, 30);
     CHECK(chosen.size() == 1);
     CHECK(chosen.count(4) == 1);
 }
 
-TEST_CASE("an explained choice names engine and reason, and nothing of the prompt")
+TEST_CASE("the routing-decision event names pool and reason, and nothing of the prompt")
 {
+    // Prompts are confidential and must not reach the log.
     Fleet fleet(3);
     const RoutingRequest request = fleet.request();
     const Event event = explainChoice(request, fleet.choose(request), fleet.table);
--- a/modules/routing/decision/RoutingChoice.h
+++ b/modules/routing/decision/RoutingChoice.h
@@ -15,47 +15,47 @@
 
 class RoutingTable;
 
-/** What routing has to know of a request. */
+/** The properties of a request that routing depends on. */
 struct RoutingRequest
 {
     PoolIndex pool = noIndex;
     CustomerIndex customer = noIndex;
-    /** The adapter the request names, or noIndex. */
+    /** The adapter that the request names, or noIndex. */
     AdapterIndex adapter = noIndex;
     /** The failure domain of this instance. */
     DomainIndex domain = noIndex;
     Priority priority = Priority::Standard;
     std::uint32_t promptTokens = 0;
     std::uint32_t expectedOutputTokens = 0;
-    /** The prompt's prefixes; may be null. Must live until started() has returned. */
+    /** The prompt's prefix hashes; may be null. Must stay valid until started() has returned. */
     const PrefixChain *prefixes = nullptr;
-    /** True when running it twice does no harm. Only such work goes to reclaimable upstreams. */
+    /** True when it is safe to run twice. Only such requests go to reclaimable upstreams. */
     bool repeatable = true;
     /** Time until the deadline; Millis::never() for none. */
     Millis slack = Millis::never();
     /** True when the caller of choose() can move a KV cache between engines. */
     bool kvTransfer = false;
 
-    /** Upstreams already tried for this request; choose() avoids them. */
+    /** Upstreams already tried for this request; choose() avoids them where it can. */
     static constexpr std::size_t maxTried = 6;
     std::array<UpstreamIndex, maxTried> tried{noIndex, noIndex, noIndex, noIndex, noIndex, noIndex};
 };
 
-/** Why a request went where it went. */
+/** Why an upstream was selected. */
 enum class RoutingReason : std::uint8_t {
-    /** The least predicted time among the sampled upstreams. */
+    /** It had the least predicted time among the sampled upstreams. */
     LeastPredictedTime,
-    /** It holds a prefix of the prompt, and was not too loaded. */
+    /** It probably has a prefix of the prompt cached, and its load was within the bound. */
     PrefixHeld,
-    /** Consistent hashing gives the prefix to it, and it was not too loaded. */
+    /** Consistent hashing maps the prefix to it, and its load was within the bound. */
     PrefixHome,
-    /** The prompt is read at one engine and the answer written at another. */
+    /** Prefill runs at one engine and decode at another. */
     Disaggregated,
-    /** A decode engine with headroom also reads the prompt. */
+    /** A decode engine with free slots also runs the prefill. */
     PrefillOnDecode,
-    /** Repeatable work with slack, on the team's share of cheaper capacity. */
+    /** Repeatable work with slack, within the team's share of reclaimable capacity. */
     Reclaimable,
-    /** Too many upstreams were ejected, so ejections were not looked at. */
+    /** Too many upstreams were ejected, so ejections were ignored. */
     Panic,
 };
 
@@ -69,26 +69,26 @@
     {RoutingReason::Panic, "panic"},
 }}};
 
-/** Where a request goes. */
+/** The selected upstream of a request, with the figures behind the selection. */
 struct RoutingChoice
 {
-    /** Writes the answer; also reads the prompt unless @c prefill is set. */
+    /** Runs decode; also runs prefill unless @c prefill is set. */
     UpstreamIndex upstream = noIndex;
-    /** Reads the prompt and exports its KV cache to @c upstream; noIndex for none. */
+    /** Runs prefill and exports its KV cache to @c upstream; noIndex when @c upstream does both. */
     UpstreamIndex prefill = noIndex;
 
     RoutingReason reason = RoutingReason::LeastPredictedTime;
-    /** Tokens of the prompt that are probably cached there. */
+    /** Tokens of the prompt that are probably cached at the engine that runs prefill. */
     std::uint32_t cachedTokens = 0;
     /** Predicted time to the first token. */
     Millis predictedFirstToken;
-    /** How many upstreams were compared. */
+    /** Number of upstreams compared. */
     std::uint32_t compared = 0;
-    /** Age of the load report that counted, -1 for none. */
+    /** Age of the upstream's load report, -1 when there is none. */
     std::int64_t reportAgeMs = -1;
 };
 
-/** Returns the sampled event that explains a choice to an operator. */
+/** Returns the routing-decision event, which is logged for a sample of requests. */
 Event explainChoice(const RoutingRequest &request, const RoutingChoice &choice,
                     const RoutingTable &table);
 
--- a/modules/routing/detail/Selection.cpp
+++ b/modules/routing/detail/Selection.cpp
@@ -9,23 +9,26 @@
 
 namespace {
 
-/** Even a fully cached prompt costs something to read. */
-constexpr double minimumUncached = 16;
-/** Weight of a slower answer against a later first token. */
-constexpr double answerTimeWeight = 0.1;
-/** Added when the time between tokens is predicted above its target. */
+/** Prefill of a fully cached prompt still costs about this many uncached tokens. */
+constexpr double minUncachedTokens = 16;
+/** Weight of a second of decode time against a second of time to first token. */
+constexpr double decodeTimeWeight = 0.1;
+/** Seconds added when the predicted time between tokens exceeds its target. */
 constexpr double tokenTargetPenalty = 1.0;
-/** How much a second of reading costs those who come later, whoever they are. */
-constexpr double workWeight = 1;
-/** How much a second of reading costs the answers being written at the same engine. */
+/** Cost of a second of prefill to the requests that arrive after this one. */
+constexpr double prefillWeight = 1;
+/** Cost of a second of prefill to the requests in decode at the same engine. */
 constexpr double interferenceWeight = 0.5;
-/** Share of a home's prefix taken as cached when no hint says so. */
+/** Share of the prefix assumed to be cached at its home engine when no hint says so. */
 constexpr double assumedHomeShare = 0.3;
-/** Prefixes up to about this length decide the home, so that one document stays together. */
+/**
+    The longest prefix up to this length decides the home, so that prompts about the same document
+    share one.
+*/
 constexpr std::uint32_t homePrefixTokens = 1024;
 constexpr double secondsPerServiceRequest = 0.001;
-/** Tries for one sample, where many members may not be used. */
-constexpr std::uint32_t triesPerSample = 3;
+/** Random draws allowed per sampled upstream, since some members may not be eligible. */
+constexpr std::uint32_t drawsPerSample = 3;
 
 double loadRelaxed(const std::atomic<std::int64_t> &value)
 {
@@ -52,12 +55,13 @@
     for (std::size_t i = 0; i < holders.count; ++i) {
         const PrefixHolder &holder = holders.holders[i];
         if (holder.upstream < table_.upstreamCount())
-            affinity_[affinityCount_++] = {
+            affinityCandidates_[affinityCount_++] = {
                 holder.upstream, holder.tokens * holder.confidence, RoutingReason::PrefixHeld, {}};
     }
     if (request_.prefixes == nullptr || request_.prefixes->empty() || affinityCount_ > 1)
         return;
-    // Where no hint says who has the prefix, all instances must still agree on where to build it.
+    // Without hints, consistent hashing makes all instances send the prefix to the same engines, so
+    // that it is cached there once instead of everywhere.
     const PrefixPoint *point = &request_.prefixes->front();
     for (const PrefixPoint &next : *request_.prefixes) {
         if (next.tokens <= homePrefixTokens)
@@ -66,7 +70,7 @@
     for (std::uint64_t salt = 0; salt < 2; ++salt) {
         const UpstreamIndex home = pool_.home(mixHash(point->hash, salt));
         if (home != noIndex)
-            affinity_[affinityCount_++] = {
+            affinityCandidates_[affinityCount_++] = {
                 home, point->tokens * assumedHomeShare, RoutingReason::PrefixHome, {}};
     }
 }
@@ -74,16 +78,16 @@
 std::optional<RoutingChoice> Selection::run(const SelectionRules &rules, const RandomHook &random)
 {
     rules_ = rules;
-    count_ = 0;
+    candidateCount_ = 0;
     best_.reset();
-    sampleAll(random);
-    findMeans();
-    addAffinity();
-    compareSingles();
+    samplePools(random);
+    computeMeans();
+    addAffinityCandidates();
+    evaluateSingleEngines();
     if (request_.kvTransfer)
-        compareDisaggregated();
+        evaluateDisaggregated();
     if (best_) {
-        best_->compared = static_cast<std::uint32_t>(count_);
+        best_->compared = static_cast<std::uint32_t>(candidateCount_);
         if (rules.ignoreEjections)
             best_->reason = RoutingReason::Panic;
     }
@@ -98,12 +102,12 @@
         != upstream.adapters.end();
 }
 
-bool Selection::mayUse(UpstreamIndex index) const
+bool Selection::isEligible(UpstreamIndex index) const
 {
     const RoutedUpstream &upstream = table_.upstream(index);
     if (!upstream.takesNewWork || !hasAdapter(upstream))
         return false;
-    if (upstream.costClass == CostClass::Reclaimable && !mayUseReclaimable())
+    if (upstream.costClass == CostClass::Reclaimable && !isReclaimableAllowed())
         return false;
     if (!rules_.ignoreEjections
         && loads_.upstream(index).ejectedUntil.load(std::memory_order_relaxed) > now_.count())
@@ -113,11 +117,12 @@
 }
 
 /**
-    A whole zone of reclaimable upstreams can vanish at once, with every answer being written
-    there. A lodging would then have an unknown end, and a copyist at the desk would wait twice.
-    So only work that can be redone in time goes there, and no more than the team's share.
+    Reclaimable upstreams can be withdrawn a whole zone at once, which cuts off every response in
+    progress there. A call that is not safe to repeat would then have an unknown outcome, and an
+    interactive caller would wait twice. So only work that can be rerun before its deadline goes
+    there, up to the team's share of reclaimable capacity.
 */
-bool Selection::mayUseReclaimable() const
+bool Selection::isReclaimableAllowed() const
 {
     if (!guardEnabled(Guard::ReclaimableOnlyForRedoable))
         return true;
@@ -128,225 +133,228 @@
     if (!hasSlack || request_.slack < options_.reclaimableSlack)
         return false;
     const TeamIndex team = table_.teamOf(request_.customer);
-    const TeamWork &work = loads_.team(team);
+    const TeamUsage &usage = loads_.team(team);
     const double cost = request_.promptTokens + request_.expectedOutputTokens;
-    return loadRelaxed(work.reclaimableTokens) + cost
-        <= table_.reclaimableShareOf(team) * (loadRelaxed(work.allTokens) + cost);
+    return loadRelaxed(usage.reclaimableTokens) + cost
+        <= table_.reclaimableShareOf(team) * (loadRelaxed(usage.allTokens) + cost);
 }
 
-void Selection::add(const Candidate &candidate)
+void Selection::addCandidate(const Candidate &candidate)
 {
-    for (std::size_t i = 0; i < count_; ++i) {
+    for (std::size_t i = 0; i < candidateCount_; ++i) {
         if (candidates_[i].upstream == candidate.upstream) {
             if (candidate.cachedTokens > candidates_[i].cachedTokens)
                 candidates_[i] = candidate;
             return;
         }
     }
-    if (count_ < maxCandidates)
-        candidates_[count_++] = candidate;
+    if (candidateCount_ < maxCandidates)
+        candidates_[candidateCount_++] = candidate;
 }
 
-void Selection::sample(const PoolMembers &members, const RandomHook &random)
+void Selection::sampleMembers(const PoolMembers &members, const RandomHook &random)
 {
     if (members.empty())
         return;
-    if (rules_.everyMember || members.all.size() <= options_.samples) {
+    if (rules_.allMembers || members.all.size() <= options_.sampleSize) {
         const std::size_t start = random() % members.all.size();
         for (std::size_t i = 0; i < members.all.size(); ++i) {
             const UpstreamIndex index = members.all[(start + i) % members.all.size()];
-            if (mayUse(index))
-                add({index, 0, RoutingReason::LeastPredictedTime, {}});
+            if (isEligible(index))
+                addCandidate({index, 0, RoutingReason::LeastPredictedTime, {}});
         }
         return;
     }
-    const bool hasLocal =
+    const bool hasLocalMembers =
         request_.domain < members.byDomain.size() && !members.byDomain[request_.domain].empty();
-    std::uint32_t taken = 0;
-    for (std::uint32_t i = 0; i < options_.samples * triesPerSample && taken < options_.samples;
-         ++i) {
-        const auto &from = hasLocal && i % 2 == 0 ? members.byDomain[request_.domain] : members.all;
+    std::uint32_t accepted = 0;
+    for (std::uint32_t i = 0;
+         i < options_.sampleSize * drawsPerSample && accepted < options_.sampleSize; ++i) {
+        const auto &from =
+            hasLocalMembers && i % 2 == 0 ? members.byDomain[request_.domain] : members.all;
         const UpstreamIndex index = from[random() % from.size()];
-        if (!mayUse(index))
+        if (!isEligible(index))
             continue;
-        add({index, 0, RoutingReason::LeastPredictedTime, {}});
-        ++taken;
+        addCandidate({index, 0, RoutingReason::LeastPredictedTime, {}});
+        ++accepted;
     }
 }
 
-void Selection::sampleAll(const RandomHook &random)
+void Selection::samplePools(const RandomHook &random)
 {
-    sample(pool_.mixed, random);
-    sample(pool_.decode, random);
+    sampleMembers(pool_.mixed, random);
+    sampleMembers(pool_.decode, random);
     if (request_.kvTransfer)
-        sample(pool_.prefill, random);
+        sampleMembers(pool_.prefill, random);
 }
 
-void Selection::findMeans()
+void Selection::computeMeans()
 {
-    meanOthers_ = 0;
+    meanOthersRequests_ = 0;
     meanRequests_ = 0;
-    if (count_ == 0)
+    if (candidateCount_ == 0)
         return;
-    for (std::size_t i = 0; i < count_; ++i)
-        meanOthers_ += loadRelaxed(loads_.upstream(candidates_[i].upstream).othersRequests);
-    meanOthers_ /= static_cast<double>(count_);
-    for (std::size_t i = 0; i < count_; ++i)
-        meanRequests_ += (candidates_[i].load = viewOf(candidates_[i].upstream)).requests;
-    meanRequests_ /= static_cast<double>(count_);
+    for (std::size_t i = 0; i < candidateCount_; ++i)
+        meanOthersRequests_ += loadRelaxed(loads_.upstream(candidates_[i].upstream).othersRequests);
+    meanOthersRequests_ /= static_cast<double>(candidateCount_);
+    for (std::size_t i = 0; i < candidateCount_; ++i)
+        meanRequests_ += (candidates_[i].load = estimateLoad(candidates_[i].upstream)).requests;
+    meanRequests_ /= static_cast<double>(candidateCount_);
 }
 
-void Selection::addAffinity()
+void Selection::addAffinityCandidates()
 {
     for (std::size_t i = 0; i < affinityCount_; ++i) {
-        if (!mayUse(affinity_[i].upstream))
+        if (!isEligible(affinityCandidates_[i].upstream))
             continue;
-        affinity_[i].load = viewOf(affinity_[i].upstream);
-        if (!overAffinityBound(affinity_[i]))
-            add(affinity_[i]);
+        affinityCandidates_[i].load = estimateLoad(affinityCandidates_[i].upstream);
+        if (!exceedsAffinityBound(affinityCandidates_[i]))
+            addCandidate(affinityCandidates_[i]);
     }
 }
 
-bool Selection::overAffinityBound(const Candidate &candidate) const
+bool Selection::exceedsAffinityBound(const Candidate &candidate) const
 {
     return candidate.load.requests > options_.affinityLoadBound * (meanRequests_ + 1);
 }
 
 /**
-    Own outstanding work is known exactly; what others sent is known from a report that ages.
+    Own requests in progress are known exactly; those of other instances only from a load report.
 
-    An old report says little, and if all instances believed it they would all choose the same
-    upstream. It is therefore drawn towards the mean of the sample as it ages.
+    If all instances trusted an old report alike, they would all choose the same upstream. The
+    estimate therefore moves from the reported value to the mean of the sample as the report ages.
 */
-LoadView Selection::viewOf(UpstreamIndex index) const
+LoadEstimate Selection::estimateLoad(UpstreamIndex index) const
 {
     const UpstreamLive &live = loads_.upstream(index);
-    LoadView view{loadRelaxed(live.requests), loadRelaxed(live.promptTokens)};
+    LoadEstimate view{loadRelaxed(live.requests), loadRelaxed(live.promptTokens)};
     const std::int64_t reportedAt = live.reportedAt.load(std::memory_order_relaxed);
     if (reportedAt < 0) {
-        view.requests += meanOthers_;
+        view.requests += meanOthersRequests_;
         return view;
     }
     const auto age = static_cast<double>(now_.count() - reportedAt);
     const double halfLife = static_cast<double>(options_.reportHalfLife.count());
-    const double trust = 1.0 / (1.0 + std::max(0.0, age) / halfLife);
-    view.requests += trust * loadRelaxed(live.othersRequests) + (1 - trust) * meanOthers_;
-    view.promptTokens += trust * loadRelaxed(live.othersPromptTokens);
+    const double reportWeight = 1.0 / (1.0 + std::max(0.0, age) / halfLife);
+    view.requests +=
+        reportWeight * loadRelaxed(live.othersRequests) + (1 - reportWeight) * meanOthersRequests_;
+    view.promptTokens += reportWeight * loadRelaxed(live.othersPromptTokens);
     return view;
 }
 
-/** What speaks against an upstream whatever its load: failures, cost class, preference. */
-double Selection::standingCost(UpstreamIndex index) const
+/** Cost of an upstream apart from its load: recent failure, cost class, instance preference. */
+double Selection::loadIndependentCost(UpstreamIndex index) const
 {
     const UpstreamLive &live = loads_.upstream(index);
     double cost = 0;
-    const std::int64_t failedAt = live.failedAt.load(std::memory_order_relaxed);
-    // Until it is ejected or answers again: a dead engine looks idle and would draw all retries.
-    if (now_.count() - failedAt < options_.failureMemory.count())
-        cost += options_.failureCost.toSeconds();
+    const std::int64_t failedAt = live.lastFailureAt.load(std::memory_order_relaxed);
+    // A dead engine has no load and would attract all retries until it is ejected.
+    if (now_.count() - failedAt < options_.failureRetention.count())
+        cost += options_.failurePenalty.toSeconds();
     if (table_.upstream(index).costClass == CostClass::Reclaimable)
         cost -= options_.reclaimableBonus.toSeconds();
     if (preferenceSeed_ != 0) {
-        const std::uint64_t place = mixHash(preferenceSeed_, index + 1) >> 11U;
-        cost += static_cast<double>(place) * 0x1.0p-53 * options_.preferenceSpread.toSeconds();
+        const std::uint64_t preference = mixHash(preferenceSeed_, index + 1) >> 11U;
+        cost += static_cast<double>(preference) * 0x1.0p-53 * options_.preferenceSpread.toSeconds();
     }
     return cost;
 }
 
-Prediction Selection::predict(const Candidate &candidate, bool readsPrompt, bool writesAnswer) const
+Prediction Selection::predict(const Candidate &candidate, bool runsPrefill, bool runsDecode) const
 {
     const RoutedUpstream &upstream = table_.upstream(candidate.upstream);
-    const LoadView &load = candidate.load;
+    const LoadEstimate &load = candidate.load;
     Prediction prediction;
     if (upstream.domain != request_.domain)
-        prediction.firstToken += options_.otherDomainCost.toSeconds();
+        prediction.firstToken += options_.crossDomainPenalty.toSeconds();
     if (upstream.slots == 0) {
         prediction.firstToken += load.requests * secondsPerServiceRequest;
-        prediction.score = prediction.firstToken + standingCost(candidate.upstream);
+        prediction.score = prediction.firstToken + loadIndependentCost(candidate.upstream);
         return prediction;
     }
     const double slots = upstream.slots;
-    const double used = load.requests / slots;
+    const double usedShare = load.requests / slots;
     const double tokenSeconds = slots / std::max(1.0, upstream.decodeTokensPerSecond);
-    if (readsPrompt) {
+    if (runsPrefill) {
         const double rate = prefillRateOf(loads_.upstream(candidate.upstream), upstream);
         const double uncached =
-            std::max(minimumUncached, request_.promptTokens - candidate.cachedTokens);
+            std::max(minUncachedTokens, request_.promptTokens - candidate.cachedTokens);
         prediction.firstToken += (load.promptTokens + uncached) / rate;
-        prediction.score += (workWeight + interferenceWeight * used) * uncached / rate;
+        prediction.score += (prefillWeight + interferenceWeight * usedShare) * uncached / rate;
     }
-    if (writesAnswer) {
-        const double over = load.requests + 1 - slots;
-        if (over > 0)
-            prediction.firstToken += over / slots * request_.expectedOutputTokens * tokenSeconds;
-        prediction.score += answerTimeWeight * used * request_.expectedOutputTokens * tokenSeconds;
-        if (used * tokenSeconds > pool_.tokenTarget.toSeconds())
+    if (runsDecode) {
+        const double excess = load.requests + 1 - slots;
+        if (excess > 0)
+            prediction.firstToken += excess / slots * request_.expectedOutputTokens * tokenSeconds;
+        prediction.score +=
+            decodeTimeWeight * usedShare * request_.expectedOutputTokens * tokenSeconds;
+        if (usedShare * tokenSeconds > pool_.tokenTarget.toSeconds())
             prediction.score += tokenTargetPenalty;
     }
-    prediction.score += prediction.firstToken + standingCost(candidate.upstream);
+    prediction.score += prediction.firstToken + loadIndependentCost(candidate.upstream);
     return prediction;
 }
 
-void Selection::compareSingles()
+void Selection::evaluateSingleEngines()
 {
-    const bool decodeMustRead =
+    const bool decodeMustPrefill =
         pool_.mixed.empty() && (pool_.prefill.empty() || !request_.kvTransfer);
-    for (std::size_t i = 0; i < count_; ++i) {
+    for (std::size_t i = 0; i < candidateCount_; ++i) {
         const Candidate &candidate = candidates_[i];
         const RoutedUpstream &upstream = table_.upstream(candidate.upstream);
         if (upstream.role == EngineRole::Prefill)
             continue;
         RoutingReason reason = candidate.reason;
         if (upstream.role == EngineRole::Decode) {
-            const double used = candidate.load.requests / std::max(1U, upstream.slots);
-            if (!decodeMustRead && used >= options_.decodeHeadroom)
+            const double usedShare = candidate.load.requests / std::max(1U, upstream.slots);
+            if (!decodeMustPrefill && usedShare >= options_.decodeHeadroom)
                 continue;
             reason = RoutingReason::PrefillOnDecode;
         }
         if (upstream.costClass == CostClass::Reclaimable)
             reason = RoutingReason::Reclaimable;
-        take(candidate, noIndex, predict(candidate, true, true), reason);
+        updateBest(candidate, noIndex, predict(candidate, true, true), reason);
     }
 }
 
-/** The best reader and the best writer, with the time that moving the KV cache takes. */
-void Selection::compareDisaggregated()
+/** Combines the best prefill and the best decode engine; adds the KV cache transfer time. */
+void Selection::evaluateDisaggregated()
 {
-    const Candidate *reader = nullptr;
-    const Candidate *writer = nullptr;
-    Prediction reading;
-    Prediction writing;
-    for (std::size_t i = 0; i < count_; ++i) {
+    const Candidate *bestPrefill = nullptr;
+    const Candidate *bestDecode = nullptr;
+    Prediction prefillPrediction;
+    Prediction decodePrediction;
+    for (std::size_t i = 0; i < candidateCount_; ++i) {
         const Candidate &candidate = candidates_[i];
         const EngineRole role = table_.upstream(candidate.upstream).role;
         if (role == EngineRole::Prefill) {
             const Prediction next = predict(candidate, true, false);
-            if (reader == nullptr || next.score < reading.score) {
-                reader = &candidate;
-                reading = next;
+            if (bestPrefill == nullptr || next.score < prefillPrediction.score) {
+                bestPrefill = &candidate;
+                prefillPrediction = next;
             }
         } else if (role == EngineRole::Decode) {
             const Prediction next = predict(candidate, false, true);
-            if (writer == nullptr || next.score < writing.score) {
-                writer = &candidate;
-                writing = next;
+            if (bestDecode == nullptr || next.score < decodePrediction.score) {
+                bestDecode = &candidate;
+                decodePrediction = next;
             }
         }
     }
-    if (reader == nullptr || writer == nullptr)
+    if (bestPrefill == nullptr || bestDecode == nullptr)
         return;
     const double transfer =
         request_.promptTokens * options_.kvBytesPerToken / options_.kvBytesPerSecond;
-    Prediction both;
-    both.firstToken = reading.firstToken + writing.firstToken + transfer;
-    both.score = reading.score + writing.score + transfer;
-    Candidate chosen = *writer;
-    chosen.cachedTokens = reader->cachedTokens;
-    take(chosen, reader->upstream, both, RoutingReason::Disaggregated);
+    Prediction combined;
+    combined.firstToken = prefillPrediction.firstToken + decodePrediction.firstToken + transfer;
+    combined.score = prefillPrediction.score + decodePrediction.score + transfer;
+    Candidate chosen = *bestDecode;
+    chosen.cachedTokens = bestPrefill->cachedTokens;
+    updateBest(chosen, bestPrefill->upstream, combined, RoutingReason::Disaggregated);
 }
 
-void Selection::take(const Candidate &candidate, UpstreamIndex prefill,
-                     const Prediction &prediction, RoutingReason reason)
+void Selection::updateBest(const Candidate &candidate, UpstreamIndex prefill,
+                           const Prediction &prediction, RoutingReason reason)
 {
     if (best_ && prediction.score >= bestScore_)
         return;
--- a/modules/routing/detail/Selection.h
+++ b/modules/routing/detail/Selection.h
@@ -10,48 +10,48 @@
 
 namespace cuminrail::detail {
 
-/** What is believed of an upstream's load at this moment. */
-struct LoadView
+/** Estimated load of an upstream over all instances. */
+struct LoadEstimate
 {
     double requests = 0;
     double promptTokens = 0;
 };
 
-/** An upstream that is compared for one request. */
+/** An upstream under consideration for one request. */
 struct Candidate
 {
     UpstreamIndex upstream = noIndex;
-    /** Tokens of the prompt that it probably has cached. */
+    /** Expected number of prompt tokens in its cache. */
     double cachedTokens = 0;
     RoutingReason reason = RoutingReason::LeastPredictedTime;
-    LoadView load;
+    LoadEstimate load;
 };
 
-/** What a candidate would mean for the request, in seconds. */
+/** Predicted times if the request ran at a candidate, in seconds. */
 struct Prediction
 {
     double firstToken = 0;
-    /** First token, plus what the choice costs this request and others. Least wins. */
+    /** Time to first token plus the other costs to this request and to others. Least wins. */
     double score = 0;
 };
 
-/** Which upstreams a selection may look at; widened when nothing is found. */
+/** Which upstreams a selection may consider; relaxed step by step when none is eligible. */
 struct SelectionRules
 {
     bool ignoreEjections = false;
     bool ignoreTried = false;
-    /** Look at all members instead of a sample. */
-    bool everyMember = false;
+    /** Consider all members instead of a random sample. */
+    bool allMembers = false;
 };
 
-/** One run of the routing decision. Lives on the stack and allocates nothing. */
+/** Selects the upstream for one request. Lives on the stack and allocates no memory. */
 class Selection
 {
 public:
     Selection(const RoutingRequest &request, const RoutingTable &table, const LiveLoads &loads,
               const RouterOptions &options, std::uint64_t preferenceSeed, Millis now);
 
-    /** Adds the engines that probably hold a prefix of the prompt. */
+    /** Adds the engines that probably have a prefix of the prompt cached. */
     void addHolders(const PrefixHolders &holders);
 
     /** Returns the best choice under these rules. */
@@ -60,22 +60,22 @@
 private:
     static constexpr std::size_t maxCandidates = 24;
 
-    bool mayUse(UpstreamIndex upstream) const;
-    bool mayUseReclaimable() const;
+    bool isEligible(UpstreamIndex upstream) const;
+    bool isReclaimableAllowed() const;
     bool hasAdapter(const RoutedUpstream &upstream) const;
-    void sampleAll(const RandomHook &random);
-    void sample(const PoolMembers &members, const RandomHook &random);
-    void addAffinity();
-    void add(const Candidate &candidate);
-    void findMeans();
-    double standingCost(UpstreamIndex upstream) const;
-    LoadView viewOf(UpstreamIndex upstream) const;
-    bool overAffinityBound(const Candidate &candidate) const;
-    Prediction predict(const Candidate &candidate, bool readsPrompt, bool writesAnswer) const;
-    void compareSingles();
-    void compareDisaggregated();
-    void take(const Candidate &candidate, UpstreamIndex prefill, const Prediction &prediction,
-              RoutingReason reason);
+    void samplePools(const RandomHook &random);
+    void sampleMembers(const PoolMembers &members, const RandomHook &random);
+    void addAffinityCandidates();
+    void addCandidate(const Candidate &candidate);
+    void computeMeans();
+    double loadIndependentCost(UpstreamIndex upstream) const;
+    LoadEstimate estimateLoad(UpstreamIndex upstream) const;
+    bool exceedsAffinityBound(const Candidate &candidate) const;
+    Prediction predict(const Candidate &candidate, bool runsPrefill, bool runsDecode) const;
+    void evaluateSingleEngines();
+    void evaluateDisaggregated();
+    void updateBest(const Candidate &candidate, UpstreamIndex prefill, const Prediction &prediction,
+                    RoutingReason reason);
 
     const RoutingRequest &request_;
     const RoutingTable &table_;
@@ -86,11 +86,11 @@
     Millis now_;
     SelectionRules rules_;
 
-    std::array<Candidate, PrefixHolders::maxCount + 2> affinity_;
+    std::array<Candidate, PrefixHolders::maxCount + 2> affinityCandidates_;
     std::size_t affinityCount_ = 0;
     std::array<Candidate, maxCandidates> candidates_;
-    std::size_t count_ = 0;
-    double meanOthers_ = 0;
+    std::size_t candidateCount_ = 0;
+    double meanOthersRequests_ = 0;
     double meanRequests_ = 0;
     std::optional<RoutingChoice> best_;
     double bestScore_ = 0;
--- a/modules/routing/ejection/OutlierEjector.cpp
+++ b/modules/routing/ejection/OutlierEjector.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint32_t maximumDoublings = 5;
+constexpr std::uint32_t maxDoublings = 5;
 
 bool isEjected(const LiveLoads &loads, UpstreamIndex upstream, Millis now)
 {
@@ -27,7 +27,7 @@
                       [&](UpstreamIndex index) { return isEjected(loads, index, now); }));
 }
 
-const PoolMembers *membersHolding(const RoutingPool &pool, UpstreamIndex upstream)
+const PoolMembers *membersContaining(const RoutingPool &pool, UpstreamIndex upstream)
 {
     for (const PoolMembers *members : {&pool.mixed, &pool.prefill, &pool.decode}) {
         if (std::find(members->all.begin(), members->all.end(), upstream) != members->all.end())
@@ -48,29 +48,30 @@
         if (!table.upstream(index).takesNewWork || isEjected(loads, index, now))
             continue;
         UpstreamLive &live = loads.upstream(index);
-        if (isBad(live)) {
+        if (isOutlier(live)) {
             if (mayEject(table, loads, index, now))
                 eject(table, live, index, now);
-        } else if (live.successes.load(std::memory_order_relaxed) >= options_.minimumRequests) {
+        } else if (live.successes.load(std::memory_order_relaxed) >= options_.minRequests) {
             live.ejections.store(0, std::memory_order_relaxed);
         }
-        const std::uint32_t seen = live.successes.load(std::memory_order_relaxed)
+        const std::uint32_t outcomes = live.successes.load(std::memory_order_relaxed)
             + live.failures.load(std::memory_order_relaxed);
-        if (seen >= options_.minimumRequests) {
+        if (outcomes >= options_.minRequests) {
             live.successes.store(0, std::memory_order_relaxed);
             live.failures.store(0, std::memory_order_relaxed);
         }
     }
 }
 
-bool OutlierEjector::isBad(const UpstreamLive &live) const
+bool OutlierEjector::isOutlier(const UpstreamLive &live) const
 {
     const std::uint32_t failures = live.failures.load(std::memory_order_relaxed);
     const std::uint32_t all = failures + live.successes.load(std::memory_order_relaxed);
-    const bool inARow =
+    const bool failsConsecutively =
         live.consecutiveFailures.load(std::memory_order_relaxed) >= options_.consecutiveFailures;
-    const bool byShare = all >= options_.minimumRequests && failures >= options_.failureShare * all;
-    return inARow || byShare;
+    const bool exceedsFailureShare =
+        all >= options_.minRequests && failures >= options_.failureShare * all;
+    return failsConsecutively || exceedsFailureShare;
 }
 
 bool OutlierEjector::mayEject(const RoutingTable &table, const LiveLoads &loads,
@@ -80,18 +81,18 @@
         return true;
     const DomainIndex domain = table.upstream(upstream).domain;
     for (PoolIndex index = 0; index < table.poolCount(); ++index) {
-        const PoolMembers *members = membersHolding(table.pool(index), upstream);
+        const PoolMembers *members = membersContaining(table.pool(index), upstream);
         if (members == nullptr)
             continue;
         const auto &inDomain = members->byDomain[domain];
-        const auto within = [&](const std::vector<UpstreamIndex> &all) {
-            const auto after = static_cast<double>(countEjected(all, loads, now) + 1);
-            // One of a few may always go, but never the last.
+        const auto staysWithinBound = [&](const std::vector<UpstreamIndex> &all) {
+            const auto ejectedAfter = static_cast<double>(countEjected(all, loads, now) + 1);
+            // In a small pool one member may always be ejected, but never the last one.
             const double bound =
-                std::max(1.0, options_.maximumShare * static_cast<double>(all.size()));
-            return after <= bound && after < static_cast<double>(members->all.size());
+                std::max(1.0, options_.maxEjectedShare * static_cast<double>(all.size()));
+            return ejectedAfter <= bound && ejectedAfter < static_cast<double>(members->all.size());
         };
-        if (!within(members->all) || !within(inDomain))
+        if (!staysWithinBound(members->all) || !staysWithinBound(inDomain))
             return false;
     }
     return true;
@@ -101,18 +102,18 @@
                            Millis now)
 {
     const std::uint32_t before = live.ejections.fetch_add(1, std::memory_order_relaxed);
-    const std::int64_t factor = std::int64_t(1) << std::min(before, maximumDoublings);
-    const Millis time = std::min(options_.baseTime * factor, options_.maximumTime);
-    live.ejectedUntil.store((now + time).count(), std::memory_order_relaxed);
+    const std::int64_t multiplier = std::int64_t(1) << std::min(before, maxDoublings);
+    const Millis duration = std::min(options_.baseDuration * multiplier, options_.maxDuration);
+    live.ejectedUntil.store((now + duration).count(), std::memory_order_relaxed);
     const std::uint32_t failures = live.failures.exchange(0, std::memory_order_relaxed);
     const std::uint32_t successes = live.successes.exchange(0, std::memory_order_relaxed);
-    // After the ejection a single failure must not count as the old row of failures.
+    // After the ejection a single failure must not complete the earlier run of failures.
     live.consecutiveFailures.store(0, std::memory_order_relaxed);
     events_(Event{&events::upstreamEjected,
                   {{"upstream", table.upstream(upstream).id.text()},
                    {"failures", std::to_string(failures)},
                    {"successes", std::to_string(successes)},
-                   {"for_ms", std::to_string(time.count())}}});
+                   {"for_ms", std::to_string(duration.count())}}});
 }
 
 } // namespace cuminrail
--- a/modules/routing/ejection/OutlierEjector.h
+++ b/modules/routing/ejection/OutlierEjector.h
@@ -9,38 +9,39 @@
 
 namespace cuminrail {
 
-/** When an upstream's outcomes are bad enough, and how many may be out at once. */
+/** When an upstream is ejected, for how long, and how many may be ejected at once. */
 struct EjectionOptions
 {
     std::uint32_t consecutiveFailures = 5;
-    /** Share of failed requests, with at least minimumRequests since the last evaluation. */
+    /** Ejects at this share of failed requests, once minRequests have ended in the window. */
     double failureShare = 0.5;
-    std::uint32_t minimumRequests = 10;
-    Millis baseTime = Millis::seconds(5);
-    Millis maximumTime = Millis::minutes(2);
-    /** At most this share of a pool, and of a pool within one failure domain, is ejected. */
-    double maximumShare = 0.34;
+    std::uint32_t minRequests = 10;
+    Millis baseDuration = Millis::seconds(5);
+    Millis maxDuration = Millis::minutes(2);
+    /** Greatest share of a pool, and of a pool within one failure domain, that is ejected. */
+    double maxEjectedShare = 0.34;
 };
 
 /**
-    Takes upstreams with bad outcomes out of routing for a while. Judges by real requests alone.
+    Ejects upstreams whose requests fail from routing for a limited time.
 
-    Health checks can pass while requests fail, and the reverse. The bound keeps a fault that
-    shows everywhere (a bad model version, this instance's own network) from emptying the fleet:
-    the rest would be overloaded in turn. Past the bound nobody more is ejected.
+    Decides by the outcomes of real requests alone, because health checks can pass while requests
+    fail, and the reverse. A fault that shows everywhere (a bad model version, this instance's own
+    network) must not empty the fleet, since the remaining upstreams would be overloaded in turn;
+    so no more upstreams are ejected once the bound is reached.
 
-    Control thread, about four times a second.
+    Called on the control thread about four times a second.
 */
 class OutlierEjector
 {
 public:
     OutlierEjector(EjectionOptions options, EventSink events);
 
-    /** Looks at all outcomes since the last call and ejects what stands out. */
+    /** Evaluates the outcomes counted so far and ejects outliers. */
     void evaluate(const RoutingTable &table, LiveLoads &loads, Millis now);
 
 private:
-    bool isBad(const UpstreamLive &live) const;
+    bool isOutlier(const UpstreamLive &live) const;
     bool mayEject(const RoutingTable &table, const LiveLoads &loads, UpstreamIndex upstream,
                   Millis now) const;
     void eject(const RoutingTable &table, UpstreamLive &live, UpstreamIndex upstream, Millis now);
--- a/modules/routing/leaving/LeavingSet.h
+++ b/modules/routing/leaving/LeavingSet.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** One life of an upstream that is going away. */
+/** One incarnation of an upstream that is about to stop. */
 struct LeavingUpstream
 {
     UpstreamId upstream;
@@ -16,29 +16,29 @@
 };
 
 /**
-    Which upstreams are leaving: they get no new work, for the rest of that life.
+    The upstreams that are leaving: they get no new work for the rest of their incarnation.
 
     The platform's list lags, so an upstream that was reported as leaving may still be listed as
-    live, and a list read later may be an older one. Taking it back would send new work to an
-    engine that is about to go, which callers see as broken streams. So leaving is sticky: only a
-    greater incarnation of the same upstream gets work again. Merging is idempotent and
-    independent of order, so that instances can tell each other in any order.
+    live, and a list read later may be an older one. If such a list cleared the mark, new work would
+    go to an engine that is about to stop, and callers would see broken streams. So the mark is
+    sticky: only a greater incarnation of the same upstream gets work again. Merging is idempotent
+    and independent of order, so that instances can exchange entries in any order.
 
     Used by the control thread.
 */
 class LeavingSet
 {
 public:
-    /** Marks one life as leaving. Returns true when this is news that peers should hear. */
+    /** Marks an incarnation as leaving. Returns true when it is new and should be announced. */
     bool mark(const LeavingUpstream &leaving);
 
-    /** Returns true when this life of the upstream, or a later one, was reported leaving. */
+    /** Returns true when this incarnation of the upstream or a later one is marked as leaving. */
     bool contains(const UpstreamId &upstream, Incarnation incarnation) const;
 
-    /** Returns all entries, for telling a peer or for the state dump. */
+    /** Returns all entries, for announcements to peers and for the state dump. */
     std::vector<LeavingUpstream> entries() const;
 
-    /** Forgets upstreams that are no longer in the settings. */
+    /** Removes entries of upstreams that are no longer in the settings. */
     void retain(const std::vector<UpstreamId> &known);
 
     std::size_t size() const { return leaving_.size(); }
--- a/modules/routing/live/LiveLoads.cpp
+++ b/modules/routing/live/LiveLoads.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Prompt tokens assumed for each waiting request of an engine that does not count them. */
+/** Prompt tokens assumed per waiting request of an engine that does not report them. */
 constexpr std::int64_t assumedWaitingTokens = 500;
 
 std::int64_t load(const std::atomic<std::int64_t> &value)
@@ -23,13 +23,13 @@
 
 LiveLoads::LiveLoads(std::size_t upstreams, std::size_t teams)
     : upstreamCapacity_(upstreams), teamCapacity_(teams), upstreams_(new UpstreamLive[upstreams]),
-      teams_(new TeamWork[teams])
+      teams_(new TeamUsage[teams])
 { }
 
 void LiveLoads::report(UpstreamIndex index, const LoadReport &report, Millis age, Millis now)
 {
     UpstreamLive &live = upstreams_[index];
-    if (load(live.sharedUntil) > now.count())
+    if (load(live.peerSumsValidUntil) > now.count())
         return;
     const auto requests = static_cast<std::int64_t>(report.running) + report.waiting;
     const std::int64_t waitingTokens = report.waitingPromptTokens > 0
@@ -43,14 +43,14 @@
     live.reportedAt.store((now - age).count(), std::memory_order_relaxed);
 }
 
-void LiveLoads::sharedByPeers(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
-                              Millis now, Millis fresh)
+void LiveLoads::applyPeerSums(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
+                              Millis now, Millis validFor)
 {
     UpstreamLive &live = upstreams_[index];
     live.othersRequests.store(requests, std::memory_order_relaxed);
     live.othersPromptTokens.store(promptTokens, std::memory_order_relaxed);
     live.reportedAt.store(now.count(), std::memory_order_relaxed);
-    live.sharedUntil.store((now + fresh).count(), std::memory_order_relaxed);
+    live.peerSumsValidUntil.store((now + validFor).count(), std::memory_order_relaxed);
 }
 
 void LiveLoads::decayTeams()
--- a/modules/routing/live/LiveLoads.h
+++ b/modules/routing/live/LiveLoads.h
@@ -10,74 +10,74 @@
 
 namespace cuminrail {
 
-/** What an engine last published about its load. */
+/** An engine's last published load. */
 struct LoadReport
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    /** Prompt tokens that wait to be read; 0 when the engine does not say. */
+    /** Prompt tokens queued for prefill; 0 when the engine does not report them. */
     std::uint64_t waitingPromptTokens = 0;
 };
 
-/** How an attempt at an upstream ended, as far as the upstream is to blame. */
+/** How an attempt at an upstream ended, as far as the upstream caused it. */
 enum class UpstreamOutcome : std::uint8_t {
     Success,
-    /** Connection refused or broken, answer malformed, 5xx, no progress in time. */
+    /** Connection refused or broken, malformed response, 5xx, or time-out. */
     Failure,
-    /** The caller left or the request was cancelled: says nothing about the upstream. */
+    /** The caller disconnected or the request was cancelled: not caused by the upstream. */
     Neutral,
 };
 
 /**
-    Live state of one upstream. All members are atomics: any thread may read and add.
+    Live counters of one upstream. All members are atomics: any thread may read and update them.
 
-    What every decision reads comes first and fills one cache line.
+    The members that every selection reads come first and fill one cache line.
 */
 struct alignas(64) UpstreamLive
 {
-    /** This instance's own requests there, from dispatch to end. */
+    /** This instance's requests in progress there. */
     std::atomic<std::int64_t> requests{0};
-    /** Prompt tokens of own requests whose first token has not come. */
+    /** Prompt tokens of this instance's requests that are still in prefill. */
     std::atomic<std::int64_t> promptTokens{0};
-    /** Load of others, from the last report, less what of it was this instance's own. */
+    /** Load from other instances: the last report less this instance's own part of it. */
     std::atomic<std::int64_t> othersRequests{0};
     std::atomic<std::int64_t> othersPromptTokens{0};
-    /** When the report was sampled, on this machine's clock; -1 for never. */
+    /** When the last report was sampled, by this machine's clock; -1 for never. */
     std::atomic<std::int64_t> reportedAt{-1};
-    /** Measured speed of reading prompts, in tokens a second; 0 until measured. */
+    /** Measured prefill rate in tokens per second; 0 until measured. */
     std::atomic<std::int64_t> prefillRate{0};
-    /** No new work before this instant; set by OutlierEjector. */
+    /** Gets no new work before this instant; set by OutlierEjector. */
     std::atomic<std::int64_t> ejectedUntil{0};
-    /** When the last failure was seen that no success followed; a long time ago for none. */
-    std::atomic<std::int64_t> failedAt{noFailure};
+    /** Time of the last failure, reset to noFailure by a success. */
+    std::atomic<std::int64_t> lastFailureAt{noFailure};
 
-    /** Output tokens that own requests are still expected to produce. */
+    /** Expected output tokens of this instance's requests in progress. */
     std::atomic<std::int64_t> outputTokens{0};
-    /** Until when peers' own words replace the reports. */
-    std::atomic<std::int64_t> sharedUntil{-1};
+    /** Until when load from peers' messages takes precedence over reports. */
+    std::atomic<std::int64_t> peerSumsValidUntil{-1};
     /** Outcomes since the last evaluation. */
     std::atomic<std::uint32_t> successes{0};
     std::atomic<std::uint32_t> failures{0};
     std::atomic<std::uint32_t> consecutiveFailures{0};
-    /** How often it was ejected in a row; lengthens the next ejection. */
+    /** Consecutive ejections; each doubles the duration of the next one, up to a bound. */
     std::atomic<std::uint32_t> ejections{0};
 
     static constexpr std::int64_t noFailure = -1000000000;
 };
 
-/** A team's work on reclaimable upstreams against all its work, in tokens, decaying. */
-struct TeamWork
+/** Decaying token counts of a team: on reclaimable upstreams, and in total. */
+struct TeamUsage
 {
     std::atomic<std::int64_t> reclaimableTokens{0};
     std::atomic<std::int64_t> allTokens{0};
 };
 
 /**
-    What changes with every request: own outstanding work, aged reports, outcomes.
+    State that changes with every request: own requests in progress, load reports, outcomes.
 
-    Shared by all request threads without locks; counters are atomics, and a decision that reads
-    a value a moment too old costs a slightly worse choice and nothing else. Memory is
-    sizeof(UpstreamLive) for each upstream and sizeof(TeamWork) for each team of the capacity.
+    Shared by all request threads without locks. All counters are atomics; a selection that reads a
+    slightly stale value may only choose a slightly worse upstream. Takes sizeof(UpstreamLive) bytes
+    for each upstream and sizeof(TeamUsage) for each team of the capacity.
 */
 class LiveLoads
 {
@@ -87,30 +87,30 @@
 
     explicit LiveLoads(std::size_t upstreams = defaultUpstreams, std::size_t teams = defaultTeams);
 
-    /** Returns the live state of an upstream. The index must be below upstreamCapacity(). */
+    /** Returns the counters of an upstream. The index must be below upstreamCapacity(). */
     UpstreamLive &upstream(UpstreamIndex index) { return upstreams_[index]; }
     const UpstreamLive &upstream(UpstreamIndex index) const { return upstreams_[index]; }
     std::size_t upstreamCapacity() const { return upstreamCapacity_; }
 
-    TeamWork &team(TeamIndex index) { return teams_[index]; }
-    const TeamWork &team(TeamIndex index) const { return teams_[index]; }
+    TeamUsage &team(TeamIndex index) { return teams_[index]; }
+    const TeamUsage &team(TeamIndex index) const { return teams_[index]; }
     std::size_t teamCapacity() const { return teamCapacity_; }
 
-    /** Takes a load report. @param age how long ago the engine sampled it. Control thread. */
+    /** Applies a load report. @param age  time since the engine sampled it. Control thread. */
     void report(UpstreamIndex index, const LoadReport &report, Millis age, Millis now);
 
-    /** Takes what all peers together have in progress; counts more than reports for a while. */
-    void sharedByPeers(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
-                       Millis now, Millis fresh);
+    /** Sets the load summed over all peers; it takes precedence over reports for @c validFor. */
+    void applyPeerSums(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
+                       Millis now, Millis validFor);
 
-    /** Halves the teams' counters: call about once a minute. Control thread. */
+    /** Halves the teams' counters. Call about once a minute, on the control thread. */
     void decayTeams();
 
 private:
     std::size_t upstreamCapacity_;
     std::size_t teamCapacity_;
     std::unique_ptr<UpstreamLive[]> upstreams_;
-    std::unique_ptr<TeamWork[]> teams_;
+    std::unique_ptr<TeamUsage[]> teams_;
 };
 
 } // namespace cuminrail
--- a/modules/routing/live/PoolLoad.cpp
+++ b/modules/routing/live/PoolLoad.cpp
@@ -6,8 +6,8 @@
 {
     PoolLoad sum;
     const RoutingPool &members = table.pool(pool);
-    for (const PoolMembers *kind : {&members.mixed, &members.prefill, &members.decode}) {
-        for (UpstreamIndex index : kind->all) {
+    for (const PoolMembers *group : {&members.mixed, &members.prefill, &members.decode}) {
+        for (UpstreamIndex index : group->all) {
             const UpstreamLive &live = loads.upstream(index);
             sum.requests +=
                 static_cast<double>(live.requests.load(std::memory_order_relaxed)
--- a/modules/routing/live/PoolLoad.h
+++ b/modules/routing/live/PoolLoad.h
@@ -6,14 +6,14 @@
 
 namespace cuminrail {
 
-/** What all instances together have in progress at a pool, by own counters and reports. */
+/** What all instances have in progress at a pool, from own counters and load reports. */
 struct PoolLoad
 {
     double requests = 0;
     double promptTokens = 0;
 };
 
-/** Adds up a pool's upstreams. Control thread, for the admission capacity of this instance. */
+/** Sums the load of a pool's upstreams, for instanceCapacity(). Control thread. */
 PoolLoad poolLoad(const RoutingTable &table, const LiveLoads &loads, PoolIndex pool);
 
 } // namespace cuminrail
--- a/modules/routing/peers/LoadExchange.cpp
+++ b/modules/routing/peers/LoadExchange.cpp
@@ -13,41 +13,41 @@
 
 using nlohmann::json;
 
-std::uint32_t nameHash(const UpstreamId &upstream)
+std::uint32_t upstreamHash(const UpstreamId &upstream)
 {
     return static_cast<std::uint32_t>(customerSeed(upstream.text()));
 }
 
-std::uint32_t positive(const std::atomic<std::int64_t> &value)
+std::uint32_t clampedCount(const std::atomic<std::int64_t> &value)
 {
-    const std::int64_t now = value.load(std::memory_order_relaxed);
-    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(now, 0, 0x7FFFFFFF));
+    const std::int64_t count = value.load(std::memory_order_relaxed);
+    return static_cast<std::uint32_t>(std::clamp<std::int64_t>(count, 0, 0x7FFFFFFF));
 }
 
 } // namespace
 
-std::string encodeSharedLoads(const SharedLoads &message)
+std::string encodeLoadMessage(const LoadMessage &message)
 {
     json loads = json::array();
-    for (const SharedLoad &load : message.loads) {
+    for (const LoadEntry &load : message.loads) {
         loads.push_back(load.upstream);
         loads.push_back(load.requests);
         loads.push_back(load.promptTokens);
     }
     const json encoded =
-        json::array({message.sender.text(), message.incarnation, message.number, loads});
+        json::array({message.sender.text(), message.incarnation, message.sequence, loads});
     const std::vector<std::uint8_t> bytes = json::to_cbor(encoded);
     return {bytes.begin(), bytes.end()};
 }
 
-std::optional<SharedLoads> decodeSharedLoads(std::string_view frame, Reason *lastReason)
+std::optional<LoadMessage> decodeLoadMessage(std::string_view frame, Reason *lastReason)
 {
     try {
         const json encoded = json::from_cbor(frame.begin(), frame.end());
-        SharedLoads message;
+        LoadMessage message;
         message.sender = InstanceId(encoded.at(0).get<std::string>());
         message.incarnation = encoded.at(1).get<Incarnation>();
-        message.number = encoded.at(2).get<std::uint64_t>();
+        message.sequence = encoded.at(2).get<std::uint64_t>();
         const json &loads = encoded.at(3);
         for (std::size_t i = 0; i + 2 < loads.size(); i += 3) {
             message.loads.push_back({loads[i].get<std::uint32_t>(),
@@ -56,7 +56,7 @@
         }
         return message;
     } catch (const json::exception &error) {
-        fail(lastReason, "shared loads", error.what());
+        fail(lastReason, "malformed load message", error.what());
         return std::nullopt;
     }
 }
@@ -81,7 +81,7 @@
     indexes_.clear();
     hashes_.clear();
     for (UpstreamIndex index = 0; index < table.upstreamCount(); ++index) {
-        hashes_.push_back(nameHash(table.upstream(index).id));
+        hashes_.push_back(upstreamHash(table.upstream(index).id));
         indexes_[hashes_.back()] = index;
     }
 }
@@ -91,59 +91,60 @@
     const auto count = static_cast<std::int64_t>(peers_.size());
     const Millis interval =
         std::max(options_.interval, options_.intervalPerPeer * std::max<std::int64_t>(1, count));
-    if (peers_.empty() || peers_.size() > options_.mostPeers || now < sentAt_ + interval)
+    if (peers_.empty() || peers_.size() > options_.maxPeers || now < lastSentAt_ + interval)
         return;
-    sentAt_ = now;
-    SharedLoads message;
+    lastSentAt_ = now;
+    LoadMessage message;
     message.sender = self_;
     message.incarnation = incarnation_;
-    message.number = nextNumber_++;
+    message.sequence = nextSequence_++;
     for (UpstreamIndex index = 0; index < hashes_.size(); ++index) {
         const UpstreamLive &live = loads.upstream(index);
-        const SharedLoad load{hashes_[index], positive(live.requests), positive(live.promptTokens)};
+        const LoadEntry load{hashes_[index], clampedCount(live.requests),
+                             clampedCount(live.promptTokens)};
         if (load.requests > 0 || load.promptTokens > 0)
             message.loads.push_back(load);
     }
-    const std::string frame = encodeSharedLoads(message);
+    const std::string frame = encodeLoadMessage(message);
     for (const auto &entry : peers_)
         send_(entry.first, frame);
 }
 
 void LoadExchange::receive(std::string_view frame, LiveLoads &loads, Millis now)
 {
-    const auto message = decodeSharedLoads(frame);
+    const auto message = decodeLoadMessage(frame);
     if (!message)
         return;
     const auto entry = peers_.find(message->sender);
     if (entry == peers_.end())
         return;
     Peer &peer = entry->second;
-    const auto order = std::make_pair(message->incarnation, message->number);
-    if (order <= std::make_pair(peer.incarnation, peer.number))
+    const auto order = std::make_pair(message->incarnation, message->sequence);
+    if (order <= std::make_pair(peer.incarnation, peer.sequence))
         return;
     peer.incarnation = message->incarnation;
-    peer.number = message->number;
-    peer.heardAt = now;
+    peer.sequence = message->sequence;
+    peer.lastReceivedAt = now;
     peer.loads.clear();
-    for (const SharedLoad &load : message->loads) {
+    for (const LoadEntry &load : message->loads) {
         const auto index = indexes_.find(load.upstream);
         if (index != indexes_.end())
             peer.loads[index->second] = load;
     }
-    if (isComplete(now))
-        replaceReports(loads, now);
+    if (hasAllPeerLoads(now))
+        applyPeerLoads(loads, now);
 }
 
-bool LoadExchange::isComplete(Millis now) const
+bool LoadExchange::hasAllPeerLoads(Millis now) const
 {
-    if (peers_.empty() || peers_.size() > options_.mostPeers)
+    if (peers_.empty() || peers_.size() > options_.maxPeers)
         return false;
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto &entry) {
-        return now < entry.second.heardAt + options_.fresh;
+        return now < entry.second.lastReceivedAt + options_.peerTimeout;
     });
 }
 
-void LoadExchange::replaceReports(LiveLoads &loads, Millis now) const
+void LoadExchange::applyPeerLoads(LiveLoads &loads, Millis now) const
 {
     std::vector<std::pair<std::int64_t, std::int64_t>> sums(hashes_.size());
     for (const auto &[name, peer] : peers_) {
@@ -153,7 +154,8 @@
         }
     }
     for (UpstreamIndex index = 0; index < sums.size(); ++index)
-        loads.sharedByPeers(index, sums[index].first, sums[index].second, now, options_.fresh);
+        loads.applyPeerSums(index, sums[index].first, sums[index].second, now,
+                            options_.peerTimeout);
 }
 
 } // namespace cuminrail
--- a/modules/routing/peers/LoadExchange.h
+++ b/modules/routing/peers/LoadExchange.h
@@ -17,50 +17,51 @@
 
 namespace cuminrail {
 
-/** One upstream's line in a message: what the sender has in progress there. */
-struct SharedLoad
+/** What the sender of a message has in progress at one upstream. */
+struct LoadEntry
 {
-    /** The lower half of the hash of the upstream's name; indexes differ between instances. */
+    /** Lower half of the hash of the upstream's name; indexes differ between instances. */
     std::uint32_t upstream = 0;
     std::uint32_t requests = 0;
     std::uint32_t promptTokens = 0;
 };
 
-/** What one instance has in progress at all upstreams; upstreams without work are left out. */
-struct SharedLoads
+/** What one instance has in progress at all upstreams; those without work are left out. */
+struct LoadMessage
 {
     InstanceId sender;
     Incarnation incarnation = 0;
-    /** Rises with each message of the incarnation. */
-    std::uint64_t number = 0;
-    std::vector<SharedLoad> loads;
+    /** Increases with each message of the incarnation. */
+    std::uint64_t sequence = 0;
+    std::vector<LoadEntry> loads;
 };
 
-std::string encodeSharedLoads(const SharedLoads &message);
-std::optional<SharedLoads> decodeSharedLoads(std::string_view frame, Reason *lastReason = nullptr);
+std::string encodeLoadMessage(const LoadMessage &message);
+std::optional<LoadMessage> decodeLoadMessage(std::string_view frame, Reason *lastReason = nullptr);
 
-/** Constants of the exchange. */
+/** Tunables of the load exchange. */
 struct LoadExchangeOptions
 {
     Millis interval = Millis(50);
-    /** Lengthens the interval so that a node's bytes a second stay bounded. */
+    /** Lengthens the interval with the number of peers, to bound the bytes sent per second. */
     Millis intervalPerPeer = Millis(10);
-    /** With more peers than this the engines' reports alone count. */
-    std::size_t mostPeers = 16;
-    /** A peer silent for so long counts with nothing, and reports count again. */
-    Millis fresh = Millis(600);
+    /** With more peers than this nothing is exchanged, and only the engines' reports count. */
+    std::size_t maxPeers = 16;
+    /** When a peer has been silent for this long, the engines' reports count again. */
+    Millis peerTimeout = Millis(600);
 };
 
 /**
-    Tells few peers what is in progress here, so that all know an engine's load sooner than from
-    its lagging report.
+    Exchanges with peers what each instance has in progress at the engines, so that all know an
+    engine's load earlier than from its lagging report.
 
-    While every peer's word is fresh, the sum over peers replaces the engine's report. As soon as
-    one falls silent the reports count again: its work is then unknown, not zero. Messages are
-    absolute figures, so a lost or repeated one does no harm; an overtaken one is dropped.
+    While the last message of every peer is recent, the sum over peers replaces the engine's report.
+    As soon as one peer falls silent, the reports count again, because its load is then unknown, not
+    zero. Messages carry absolute values, so a lost or duplicate one does no harm; one that arrives
+    out of order is dropped.
 
-    The cost grows with the square of the number of instances, so it is for deployments of few
-    instances; large ones rely on reports, samples and preferences.
+    The cost grows with the square of the number of instances, so the exchange is only for small
+    deployments; large ones rely on reports, random samples and preferences.
 
     Control thread.
 */
@@ -71,31 +72,31 @@
 
     LoadExchange(InstanceId self, Incarnation incarnation, LoadExchangeOptions options, Send send);
 
-    /** Takes the other live instances. */
+    /** Sets the live instances; this one is ignored. */
     void setPeers(const std::vector<InstanceId> &peers);
 
-    /** Takes the upstreams of a newer table. */
+    /** Sets the upstreams from a new routing table. */
     void setTable(const RoutingTable &table);
 
-    /** Sends when it is time to. Call every 10 to 50 ms. */
+    /** Sends a message when the interval has passed. Call every 10 to 50 ms. */
     void poll(const LiveLoads &loads, Millis now);
 
-    /** A message from a peer. */
+    /** Handles a message from a peer. Malformed messages and unknown senders are ignored. */
     void receive(std::string_view frame, LiveLoads &loads, Millis now);
 
-    /** Returns true while the sums over peers replace the reports. */
-    bool isComplete(Millis now) const;
+    /** Returns true while recent loads of all peers replace the reports. */
+    bool hasAllPeerLoads(Millis now) const;
 
 private:
     struct Peer
     {
         Incarnation incarnation = 0;
-        std::uint64_t number = 0;
-        Millis heardAt = Millis(-1000000);
-        std::map<UpstreamIndex, SharedLoad> loads;
+        std::uint64_t sequence = 0;
+        Millis lastReceivedAt = Millis(-1000000);
+        std::map<UpstreamIndex, LoadEntry> loads;
     };
 
-    void replaceReports(LiveLoads &loads, Millis now) const;
+    void applyPeerLoads(LiveLoads &loads, Millis now) const;
 
     InstanceId self_;
     Incarnation incarnation_;
@@ -104,8 +105,8 @@
     std::map<InstanceId, Peer> peers_;
     std::unordered_map<std::uint32_t, UpstreamIndex> indexes_;
     std::vector<std::uint32_t> hashes_;
-    std::uint64_t nextNumber_ = 1;
-    Millis sentAt_ = Millis(-1000000);
+    std::uint64_t nextSequence_ = 1;
+    Millis lastSentAt_ = Millis(-1000000);
 };
 
 } // namespace cuminrail
--- a/modules/routing/peers/LoadExchange_test.cpp
+++ b/modules/routing/peers/LoadExchange_test.cpp
@@ -14,8 +14,8 @@
 
 constexpr Millis start = Millis::seconds(1000);
 
-/** Three instances that see the same two engines, each numbering them in its own order. */
-struct Trio
+/** Three instances with the same two engines, which have different indexes at the second one. */
+struct ThreeInstances
 {
     struct Instance
     {
@@ -32,7 +32,7 @@
         { }
     };
 
-    Trio()
+    ThreeInstances()
     {
         const std::vector<InstanceId> all = {InstanceId("a"), InstanceId("b"), InstanceId("c")};
         Settings settings;
@@ -60,8 +60,8 @@
         return self.loads.upstream(self.indexes.upstreams.find(UpstreamId(engine)));
     }
 
-    /** Polls one instance and delivers what it sent to another. */
-    void tell(std::size_t from, std::size_t to, Millis now)
+    /** Polls one instance and delivers the message to another one. */
+    void deliver(std::size_t from, std::size_t to, Millis now)
     {
         instances[from]->sent.clear();
         instances[from]->exchange.poll(instances[from]->loads, now);
@@ -74,62 +74,66 @@
 
 } // namespace
 
-TEST_CASE("the sum over peers replaces a lagging report, by name and not by index")
+TEST_CASE("the sum over peers replaces an old load report, matched by upstream name")
 {
-    Trio trio;
-    trio.live(0, "x").requests = 3;
-    trio.live(1, "x").requests = 4;
-    trio.live(1, "y").promptTokens = 900;
-    trio.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start);
-    trio.tell(0, 2, start);
-    CHECK(trio.live(2, "x").othersRequests == 20);
-    trio.tell(1, 2, start);
-    CHECK(trio.live(2, "x").othersRequests == 7);
-    CHECK(trio.live(2, "y").othersPromptTokens == 900);
-    trio.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start + Millis(100));
-    CHECK(trio.live(2, "x").othersRequests == 7);
+    // Instances assign upstream indexes independently. Matching by index would add a peer's load to
+    // the wrong engine.
+    ThreeInstances group;
+    group.live(0, "x").requests = 3;
+    group.live(1, "x").requests = 4;
+    group.live(1, "y").promptTokens = 900;
+    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start);
+    group.deliver(0, 2, start);
+    CHECK(group.live(2, "x").othersRequests == 20);
+    group.deliver(1, 2, start);
+    CHECK(group.live(2, "x").othersRequests == 7);
+    CHECK(group.live(2, "y").othersPromptTokens == 900);
+    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start + Millis(100));
+    CHECK(group.live(2, "x").othersRequests == 7);
 }
 
-TEST_CASE("when a peer falls silent the reports count again")
+TEST_CASE("load reports count again when a peer falls silent")
 {
-    // One instance is cut off and still sends work to the engines. Counted as nothing, its
-    // engines would look idle to the others, and their callers would wait there.
-    Trio trio;
-    trio.tell(0, 2, start);
-    trio.tell(1, 2, start);
-    CHECK(trio.instances[2]->exchange.isComplete(start));
+    // A partitioned instance still sends requests to the engines. If its load counted as zero, the
+    // engines would look idle to the other instances, whose requests would queue there.
+    ThreeInstances group;
+    group.deliver(0, 2, start);
+    group.deliver(1, 2, start);
+    CHECK(group.instances[2]->exchange.hasAllPeerLoads(start));
     const Millis later = start + Millis(700);
-    trio.tell(0, 2, later);
-    CHECK_FALSE(trio.instances[2]->exchange.isComplete(later));
-    trio.instances[2]->loads.report(0, {20, 0, 0}, Millis(300), later);
-    CHECK(trio.live(2, "x").othersRequests == 20);
+    group.deliver(0, 2, later);
+    CHECK_FALSE(group.instances[2]->exchange.hasAllPeerLoads(later));
+    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(300), later);
+    CHECK(group.live(2, "x").othersRequests == 20);
 }
 
-TEST_CASE("an overtaken message is dropped, and so is one that makes no sense")
+TEST_CASE("messages that are out of order or malformed are dropped")
 {
-    Trio trio;
-    trio.live(0, "x").requests = 9;
-    trio.tell(0, 2, start);
-    const std::string old = trio.instances[0]->sent[0];
-    trio.live(0, "x").requests = 1;
-    trio.tell(0, 2, start + Millis(100));
-    trio.tell(1, 2, start + Millis(100));
-    auto &receiver = *trio.instances[2];
+    // An old message delivered late must not replace the newer load of the same peer.
+    ThreeInstances group;
+    group.live(0, "x").requests = 9;
+    group.deliver(0, 2, start);
+    const std::string old = group.instances[0]->sent[0];
+    group.live(0, "x").requests = 1;
+    group.deliver(0, 2, start + Millis(100));
+    group.deliver(1, 2, start + Millis(100));
+    auto &receiver = *group.instances[2];
     receiver.exchange.receive(old, receiver.loads, start + Millis(110));
     receiver.exchange.receive("nonsense", receiver.loads, start + Millis(110));
-    CHECK(trio.live(2, "x").othersRequests == 1);
-    CHECK_FALSE(decodeSharedLoads("\x80").has_value());
+    CHECK(group.live(2, "x").othersRequests == 1);
+    CHECK_FALSE(decodeLoadMessage("\x80").has_value());
 }
 
-TEST_CASE("with many peers nothing is sent")
+TEST_CASE("nothing is sent above the maximum number of peers")
 {
-    Trio trio;
+    // Traffic grows with the square of the number of instances.
+    ThreeInstances group;
     std::vector<InstanceId> many;
     many.reserve(40);
     for (int i = 0; i < 40; ++i)
         many.emplace_back("peer-" + std::to_string(i));
-    trio.instances[0]->exchange.setPeers(many);
-    trio.instances[0]->exchange.poll(trio.instances[0]->loads, start);
-    CHECK(trio.instances[0]->sent.empty());
-    CHECK_FALSE(trio.instances[0]->exchange.isComplete(start));
+    group.instances[0]->exchange.setPeers(many);
+    group.instances[0]->exchange.poll(group.instances[0]->loads, start);
+    CHECK(group.instances[0]->sent.empty());
+    CHECK_FALSE(group.instances[0]->exchange.hasAllPeerLoads(start));
 }
--- a/modules/routing/prefix/PrefixHints.cpp
+++ b/modules/routing/prefix/PrefixHints.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 constexpr double confidenceHalfLifeSeconds = 180;
-/** Points looked at below the longest one that is known, for a second holder. */
-constexpr std::size_t pointsBelowFirst = 6;
-/** Points remembered at the short end (shared by many prompts) and at the long end (one prompt). */
+/** Shorter prefixes examined after the longest match, to find further holders. */
+constexpr std::size_t pointsBelowLongest = 6;
+/** Points recorded at the short end (shared by many prompts) and at the long end (one prompt). */
 constexpr std::size_t pointsPerEnd = 16;
 
 std::uint64_t pack(UpstreamIndex upstream, Millis now)
@@ -53,11 +53,11 @@
 {
     for (std::size_t i = 0; i < chain.size(); ++i) {
         if (i < pointsPerEnd || i + pointsPerEnd >= chain.size())
-            put(chain[i].hash, upstream, now);
+            store(chain[i].hash, upstream, now);
     }
 }
 
-void PrefixHints::put(std::uint64_t hash, UpstreamIndex upstream, Millis now)
+void PrefixHints::store(std::uint64_t hash, UpstreamIndex upstream, Millis now)
 {
     const std::size_t first = (hash & mask_) & ~(ways - 1);
     Entry *oldest = &entries_[first];
@@ -65,12 +65,12 @@
     for (std::size_t way = 0; way < ways; ++way) {
         Entry &entry = entries_[first + way];
         const std::uint64_t value = entry.value.load(std::memory_order_relaxed);
-        const std::uint64_t known = entry.hash.load(std::memory_order_relaxed);
-        if (known == hash && upstreamOf(value) == upstream) {
+        const std::uint64_t storedHash = entry.hash.load(std::memory_order_relaxed);
+        if (storedHash == hash && upstreamOf(value) == upstream) {
             entry.value.store(pack(upstream, now), std::memory_order_relaxed);
             return;
         }
-        const std::int64_t age = known == 0 ? lifetime.count() : ageSeconds(value, now);
+        const std::int64_t age = storedHash == 0 ? retention.count() : ageSeconds(value, now);
         if (age > oldestAge) {
             oldestAge = age;
             oldest = &entry;
@@ -83,9 +83,9 @@
 PrefixHolders PrefixHints::find(const PrefixChain &chain, Millis now) const
 {
     PrefixHolders found;
-    std::size_t looked = 0;
+    std::size_t examined = 0;
     for (std::size_t i = chain.size(); i-- > 0 && found.count < PrefixHolders::maxCount;) {
-        if (found.count > 0 && ++looked > pointsBelowFirst)
+        if (found.count > 0 && ++examined > pointsBelowLongest)
             break;
         const PrefixPoint &point = chain[i];
         const std::size_t first = (point.hash & mask_) & ~(ways - 1);
@@ -95,7 +95,7 @@
                 continue;
             const std::uint64_t value = entry.value.load(std::memory_order_relaxed);
             const std::int64_t age = ageSeconds(value, now);
-            if (age * 1000 > lifetime.count() || contains(found, upstreamOf(value)))
+            if (age * 1000 > retention.count() || contains(found, upstreamOf(value)))
                 continue;
             const double confidence =
                 1.0 / (1.0 + static_cast<double>(age) / confidenceHalfLifeSeconds);
@@ -107,7 +107,7 @@
 
 void PrefixHints::stored(std::uint64_t hash, UpstreamIndex upstream, Millis now)
 {
-    put(hash, upstream, now);
+    store(hash, upstream, now);
 }
 
 void PrefixHints::evicted(std::uint64_t hash, UpstreamIndex upstream)
--- a/modules/routing/prefix/PrefixHints.h
+++ b/modules/routing/prefix/PrefixHints.h
@@ -12,16 +12,16 @@
 
 namespace cuminrail {
 
-/** One upstream that probably has a prefix in its cache. */
+/** An upstream that probably has a prefix in its KV cache. */
 struct PrefixHolder
 {
     UpstreamIndex upstream = noIndex;
     std::uint32_t tokens = 0;
-    /** 1 for a fresh hint, falling towards 0 with its age. */
+    /** 1 for a new hint, falling towards 0 with its age. */
     double confidence = 0;
 };
 
-/** The upstreams that probably hold the longest prefixes of a prompt, best first. */
+/** The upstreams that probably hold the longest prefixes of a prompt, longest first. */
 struct PrefixHolders
 {
     static constexpr std::size_t maxCount = 3;
@@ -30,38 +30,39 @@
 };
 
 /**
-    Which upstream probably has which prefix in its cache: hints, that decay.
+    Hints as to which upstream has which prompt prefix in its KV cache; their confidence decays.
 
-    Written by own dispatches and by engines' cache events, which are late and have gaps. A wrong
-    hint costs one prompt read anew. A fixed table of atomics that overwrites its oldest entries:
-    no lock, bounded memory (16 bytes an entry), any thread may read and write.
+    Updated by own requests and by engines' cache events, which arrive late and may be lost. A wrong
+    hint costs one full prefill. A set-associative table of atomics that overwrites the oldest entry
+    of a set: lock-free, bounded memory (16 bytes an entry), any thread may read and write.
 */
 class PrefixHints
 {
 public:
     static constexpr std::size_t defaultEntries = 65536;
-    /** A hint is forgotten after this long without use. */
-    static constexpr Millis lifetime = Millis::minutes(10);
+    /** A hint is ignored when it has not been refreshed for this long. */
+    static constexpr Millis retention = Millis::minutes(10);
 
     explicit PrefixHints(std::size_t entries = defaultEntries);
 
-    /** Remembers that the upstream has read this prompt. */
+    /** Records that the upstream has processed, and probably cached, this prompt. */
     void remember(const PrefixChain &chain, UpstreamIndex upstream, Millis now);
 
-    /** Returns who probably holds the longest prefixes. */
+    /** Returns the upstreams that probably hold the longest prefixes. */
     PrefixHolders find(const PrefixChain &chain, Millis now) const;
 
-    /** A cache event: stored. */
+    /** Applies a cache event: the upstream has stored the prefix. */
     void stored(std::uint64_t hash, UpstreamIndex upstream, Millis now);
 
-    /** A cache event: evicted. */
+    /** Applies a cache event: the upstream has evicted the prefix. */
     void evicted(std::uint64_t hash, UpstreamIndex upstream);
 
     /**
-        Forgets everything about an upstream: after a gap in its events, a restart or a crash.
+        Removes all hints of an upstream: after a gap in its cache events, a restart or a crash.
 
-        A gap may hide evictions; keeping the hints would send a whole customer's work to an
-        engine that has to read every prompt anew. Later events and dispatches fill in again.
+        The missing events may have been evictions; keeping the hints would send all of a customer's
+        requests to an engine that has to prefill every prompt from scratch. Later events and
+        requests add hints again.
     */
     void forgetUpstream(UpstreamIndex upstream);
 
@@ -71,22 +72,22 @@
     struct Entry
     {
         std::atomic<std::uint64_t> hash{0};
-        /** Upstream in the upper half, seconds of the last use in the lower. */
+        /** Upstream in the upper half, time of the last refresh in seconds in the lower half. */
         std::atomic<std::uint64_t> value{0};
     };
     static constexpr std::size_t ways = 4;
 
-    void put(std::uint64_t hash, UpstreamIndex upstream, Millis now);
+    void store(std::uint64_t hash, UpstreamIndex upstream, Millis now);
 
     std::size_t mask_;
     std::unique_ptr<Entry[]> entries_;
 };
 
-/** Follows one engine's numbered cache events and notices gaps. Control thread. */
+/** Tracks the sequence numbers of one engine's cache events to detect gaps. Control thread. */
 class CacheEventCursor
 {
 public:
-    /** Returns false when events are missing before this one: forget the upstream's hints. */
+    /** Returns false when events before this one are missing: remove the upstream's hints. */
     bool accept(std::uint64_t number);
 
     std::uint64_t last() const { return last_; }
--- a/modules/routing/routing.h
+++ b/modules/routing/routing.h
@@ -1,12 +1,11 @@
 #pragma once
 
 /**
-    Which upstream runs a request.
+    Selects the upstream that runs a request.
 
-    Purpose: an immutable table of who serves what (published to request threads by
-    read-copy-update), live counters and cache hints made of atomics, the decision itself, ejection
-    of upstreams whose requests fail, and the set of upstreams that leave. docs/ROUTING.md has the
-    design and the operators' view.
+    Purpose: an immutable routing table (published to request threads by read-copy-update), live
+    counters and prefix-cache hints made of atomics, the selection itself, outlier ejection, and the
+    set of upstreams that are leaving. docs/ROUTING.md has the design and the operators' view.
 
     Depends on: core, ports, settings.
 */
--- a/modules/routing/table/LiveFacts.h
+++ b/modules/routing/table/LiveFacts.h
@@ -10,21 +10,21 @@
 
 namespace cuminrail {
 
-/** What one engine last said of itself, as far as routing needs it. */
-struct EngineFacts
+/** The part of an engine's last report that routing needs. */
+struct ReportedEngineState
 {
     Incarnation incarnation = 0;
     EngineRole role = EngineRole::Mixed;
-    /** "model@version" or "model"; empty while the engine has not said. */
+    /** "model@version" or "model"; empty until the engine has reported its models. */
     std::vector<std::string> models;
     std::vector<std::string> adapters;
 };
 
-/** What is known beside the settings when a table is built. */
+/** Reported state that a routing table is built from, in addition to the settings. */
 struct LiveFacts
 {
-    /** Engines that have reported; one that has not is taken as the settings describe it. */
-    std::map<UpstreamId, EngineFacts> engines;
+    /** Engines that have reported; the settings alone describe the others. */
+    std::map<UpstreamId, ReportedEngineState> engines;
     LeavingSet leaving;
 };
 
--- a/modules/routing/table/RoutingTable.cpp
+++ b/modules/routing/table/RoutingTable.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 template<typename Map, typename Name>
-std::optional<typename Map::mapped_type> findNamed(const Map &map, const Name &name)
+std::optional<typename Map::mapped_type> findByName(const Map &map, const Name &name)
 {
     const auto entry = map.find(name);
     if (entry == map.end())
@@ -24,8 +24,8 @@
 {
     if (call.method != method)
         return false;
-    // Settings write the path below the prefix with a slash before it, which the prefix ends in
-    // already. Compared as written no rule would match, and a lodging would need no key.
+    // A rule's path begins with the slash that the service's prefix already ends in. Without
+    // removing it, no rule would match and calls would not require their idempotency key.
     std::string_view rule = call.path;
     if (!rule.empty() && rule.front() == '/')
         rule.remove_prefix(1);
@@ -59,17 +59,17 @@
 
 std::optional<PoolIndex> RoutingTable::findModel(std::string_view model) const
 {
-    return findNamed(modelPools_, model);
+    return findByName(modelPools_, model);
 }
 
 std::optional<AdapterIndex> RoutingTable::findAdapter(std::string_view adapter) const
 {
-    return findNamed(adapters_, adapter);
+    return findByName(adapters_, adapter);
 }
 
 std::optional<CustomerIndex> RoutingTable::findCustomer(const CustomerId &customer) const
 {
-    return findNamed(customerIndexes_, customer);
+    return findByName(customerIndexes_, customer);
 }
 
 std::optional<ServiceRoute> RoutingTable::findService(std::string_view method,
@@ -89,11 +89,11 @@
     route.timeout = best->timeout;
     route.pathBelow = path.substr(best->prefix.size());
     route.repeatable = isSafeMethod(method);
-    const std::string_view bare = route.pathBelow.substr(0, route.pathBelow.find('?'));
+    const std::string_view pathWithoutQuery = route.pathBelow.substr(0, route.pathBelow.find('?'));
     const ServiceCallSettings *rule = nullptr;
-    for (const ServiceCallSettings &call : best->calls) {
+    for (const ServiceCallSettings &call : best->callRules) {
         const bool longer = rule == nullptr || call.path.size() > rule->path.size();
-        if (longer && callMatches(call, method, bare))
+        if (longer && callMatches(call, method, pathWithoutQuery))
             rule = &call;
     }
     if (rule != nullptr) {
@@ -119,24 +119,24 @@
     const RoutingPool &members = pools_[pool];
     if (members.isService)
         return sum;
-    // Decode engines read prompts only within their headroom, but must when nobody else does.
-    const bool decodeReads = members.prefill.empty() && members.mixed.empty();
-    std::size_t readers = 0;
-    const auto add = [&](const PoolMembers &kind, bool reads, bool writes) {
-        for (UpstreamIndex index : kind.all) {
+    // Decode engines run prefill only within their headroom, except when no other engine does.
+    const bool decodeRunsPrefill = members.prefill.empty() && members.mixed.empty();
+    std::size_t prefillEngines = 0;
+    const auto add = [&](const PoolMembers &group, bool runsPrefill, bool runsDecode) {
+        for (UpstreamIndex index : group.all) {
             const RoutedUpstream &upstream = upstreams_[index];
-            sum.slots += writes ? upstream.slots : 0;
-            sum.decodeTokensPerSecond += writes ? upstream.decodeTokensPerSecond : 0;
-            sum.prefillTokensPerSecond += reads ? upstream.prefillTokensPerSecond : 0;
-            readers += reads ? 1 : 0;
+            sum.slots += runsDecode ? upstream.slots : 0;
+            sum.decodeTokensPerSecond += runsDecode ? upstream.decodeTokensPerSecond : 0;
+            sum.prefillTokensPerSecond += runsPrefill ? upstream.prefillTokensPerSecond : 0;
+            prefillEngines += runsPrefill ? 1 : 0;
         }
     };
     add(members.mixed, true, true);
     add(members.prefill, true, false);
-    add(members.decode, decodeReads, true);
-    if (readers > 0)
+    add(members.decode, decodeRunsPrefill, true);
+    if (prefillEngines > 0)
         sum.enginePrefillTokensPerSecond =
-            sum.prefillTokensPerSecond / static_cast<double>(readers);
+            sum.prefillTokensPerSecond / static_cast<double>(prefillEngines);
     return sum;
 }
 
--- a/modules/routing/table/RoutingTable.h
+++ b/modules/routing/table/RoutingTable.h
@@ -20,15 +20,15 @@
 
 namespace cuminrail {
 
-/** An upstream as routing sees it. What every decision reads comes first. */
+/** An upstream in the routing table. The members that every selection reads come first. */
 struct RoutedUpstream
 {
     DomainIndex domain = noIndex;
-    /** Requests that it runs at once; 0 for no limit (plain services). */
+    /** Maximum concurrent requests; 0 for no limit (plain services). */
     std::uint32_t slots = 0;
     EngineRole role = EngineRole::Mixed;
     CostClass costClass = CostClass::Regular;
-    /** False while it leaves, changes role, or is not configured any more. */
+    /** False while it is leaving or changing its role, and when it is no longer configured. */
     bool takesNewWork = false;
     double prefillTokensPerSecond = 0;
     double decodeTokensPerSecond = 0;
@@ -38,77 +38,77 @@
     std::string address;
 };
 
-/** Upstreams of one kind within a pool. */
+/** Upstreams of one role within a pool. */
 struct PoolMembers
 {
     std::vector<UpstreamIndex> all;
-    /** The same ones by DomainIndex; shorter than the number of domains where none is there. */
+    /** The same upstreams by DomainIndex; may be shorter than the number of domains. */
     std::vector<std::vector<UpstreamIndex>> byDomain;
 
     bool empty() const { return all.empty(); }
     void add(UpstreamIndex upstream, DomainIndex domain);
 };
 
-/** The upstreams that serve one model or one plain service, new work alone. */
+/** The upstreams that take new work for one model or one plain service. */
 struct RoutingPool
 {
     std::string name;
     bool isService = false;
-    /** Beside mixed engines, also plain services. */
+    /** Mixed engines; also the upstreams of plain services. */
     PoolMembers mixed;
     PoolMembers prefill;
     PoolMembers decode;
-    /** Consistent hashing over engines that read prompts: sorted points and their engines. */
+    /** Consistent-hash ring of the engines that run prefill: sorted points and their engines. */
     std::vector<std::pair<std::uint64_t, UpstreamIndex>> ring;
     Millis firstTokenTarget{750};
     Millis tokenTarget{51};
 
-    /** Returns the upstream that a prefix hash belongs to, or noIndex for an empty pool. */
+    /** Returns the upstream that consistent hashing maps a prefix to; noIndex for an empty pool. */
     UpstreamIndex home(std::uint64_t prefixHash) const;
     bool isEmpty() const { return mixed.empty() && prefill.empty() && decode.empty(); }
 };
 
-/** What a pool can carry, for admission. */
+/** Total capacity of a pool's upstreams, for admission. */
 struct PoolCapacity
 {
-    /** Requests at once; 0 for no limit. */
+    /** Maximum concurrent requests; 0 for no limit. */
     double slots = 0;
     double prefillTokensPerSecond = 0;
     double decodeTokensPerSecond = 0;
-    /** Speed at which one of them reads one prompt. */
+    /** Mean prefill rate of a single engine. */
     double enginePrefillTokensPerSecond = 0;
 };
 
-/** Where a call of a plain service goes, and whether it may be repeated. */
+/** The pool and the call rules of a request to a plain service. */
 struct ServiceRoute
 {
     PoolIndex pool = noIndex;
     Millis timeout = Millis::seconds(30);
     bool repeatable = true;
     bool idempotencyKeyRequired = false;
-    /** The rest of the path, below the service's prefix. */
+    /** The path after the service's prefix. */
     std::string_view pathBelow;
 };
 
 /**
-    Everything that a routing decision reads of settings and membership: immutable, and indexed.
+    Immutable index of the settings and the engine state that routing reads.
 
     Built on the control thread by buildRoutingTable(), published to request threads by
-    read-copy-update, read there without any lock. What changes with each request (outstanding
-    work, ejections, cache hints) is in LiveLoads and PrefixHints, which outlive tables.
+    read-copy-update, and read there without a lock. State that changes with each request (requests
+    in progress, ejections, cache hints) is in LiveLoads and PrefixHints, which outlive tables.
 */
 class RoutingTable
 {
 public:
-    /** Returns the pool of a model name as callers write it. */
+    /** Returns the pool of a model, by the name used in requests. */
     std::optional<PoolIndex> findModel(std::string_view model) const;
 
-    /** Returns an adapter's number, for requests that name "model:adapter". */
+    /** Returns the index of an adapter, for requests that name "model:adapter". */
     std::optional<AdapterIndex> findAdapter(std::string_view adapter) const;
 
     std::optional<CustomerIndex> findCustomer(const CustomerId &customer) const;
 
-    /** Returns the service whose prefix matches the path, and the rules of this call. */
+    /** Returns the service with the longest prefix of the path, and the rules of this call. */
     std::optional<ServiceRoute> findService(std::string_view method, std::string_view path) const;
 
     /** Returns true when the customer may use the pool. */
@@ -125,7 +125,7 @@
     std::size_t upstreamCount() const { return upstreams_.size(); }
     const std::string &domainName(DomainIndex index) const { return domainNames_[index]; }
 
-    /** Returns what the pool's upstreams that take new work can carry together. */
+    /** Returns the total capacity of the pool's upstreams that take new work. */
     PoolCapacity capacity(PoolIndex pool) const;
 
     /** Returns the models a customer may use, for GET /v1/models. */
@@ -139,7 +139,7 @@
         TeamIndex team = noIndex;
         std::uint64_t seed = 0;
         Priority priority = Priority::Standard;
-        /** Sorted; empty means all. */
+        /** Allowed pools, sorted; empty means all. */
         std::vector<PoolIndex> pools;
         bool present = false;
     };
@@ -149,7 +149,7 @@
         std::string prefix;
         PoolIndex pool = noIndex;
         Millis timeout;
-        std::vector<ServiceCallSettings> calls;
+        std::vector<ServiceCallSettings> callRules;
     };
 
     std::vector<RoutedUpstream> upstreams_;
@@ -165,10 +165,10 @@
 };
 
 /**
-    Builds the table for these settings and facts. Control thread.
+    Builds the table from the settings and the reported state. Control thread.
 
-    An engine's reported role, models and adapters count more than its settings: work sent to an
-    engine that has not loaded the model yet would come back as an error.
+    An engine's reported role, models and adapters take precedence over its settings, because a
+    request sent to an engine that has not loaded the model yet would fail.
 */
 RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &facts,
                                StableIndexes &indexes);
--- a/modules/routing/table/RoutingTableBuilder.cpp
+++ b/modules/routing/table/RoutingTableBuilder.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Points of each engine on the ring: enough that homes differ by a quarter at most. */
+/** Points of each engine on the ring; enough that engines' shares differ by at most a quarter. */
 constexpr int ringPointsPerEngine = 32;
 
 std::string_view withoutVersion(std::string_view model)
@@ -16,31 +16,31 @@
     return model.substr(0, model.find('@'));
 }
 
-/** How an engine stands to a model. */
-enum class Holding : std::uint8_t { No, OtherVersion, DeclaredVersion };
+/** Which version of a model an engine serves, if any. */
+enum class Availability : std::uint8_t { No, OtherVersion, DeclaredVersion };
 
-Holding holdingOf(const EngineSettings &engine, const EngineFacts *facts,
-                  const ModelSettings &model)
+Availability availabilityOf(const EngineSettings &engine, const ReportedEngineState *facts,
+                            const ModelSettings &model)
 {
     if (facts == nullptr || facts->models.empty()) {
         const bool listed =
             std::find(engine.models.begin(), engine.models.end(), model.id) != engine.models.end();
-        return listed ? Holding::DeclaredVersion : Holding::No;
+        return listed ? Availability::DeclaredVersion : Availability::No;
     }
     const std::string declared = model.id.text() + "@" + model.version;
-    Holding best = Holding::No;
+    Availability best = Availability::No;
     for (const std::string &loaded : facts->models) {
         if (loaded == declared || loaded == model.id.text())
-            return Holding::DeclaredVersion;
+            return Availability::DeclaredVersion;
         if (withoutVersion(loaded) == model.id.text())
-            best = Holding::OtherVersion;
+            best = Availability::OtherVersion;
     }
     return best;
 }
 
 } // namespace
 
-/** Fills in a RoutingTable step by step. */
+/** Implements buildRoutingTable(). */
 class RoutingTableBuilder
 {
 public:
@@ -64,7 +64,7 @@
     }
 
 private:
-    const EngineFacts *factsOf(const UpstreamId &engine) const
+    const ReportedEngineState *reportedState(const UpstreamId &engine) const
     {
         const auto entry = facts_.engines.find(engine);
         return entry == facts_.engines.end() ? nullptr : &entry->second;
@@ -88,7 +88,7 @@
     void addEngines()
     {
         for (const EngineSettings &engine : settings_.fleet.engines) {
-            const EngineFacts *facts = factsOf(engine.id);
+            const ReportedEngineState *facts = reportedState(engine.id);
             RoutedUpstream &routed = upstreamAt(engine.id);
             routed.id = engine.id;
             routed.address = engine.address;
@@ -118,7 +118,7 @@
     {
         for (const ServiceSettings &service : settings_.fleet.services) {
             for (const ServiceUpstreamSettings &upstream : service.upstreams) {
-                const EngineFacts *facts = factsOf(upstream.id);
+                const ReportedEngineState *facts = reportedState(upstream.id);
                 RoutedUpstream &routed = upstreamAt(upstream.id);
                 routed.id = upstream.id;
                 routed.address = upstream.address;
@@ -141,31 +141,34 @@
         table_.modelPools_.emplace(model.id.text(), index);
         table_.models_.emplace_back(model.id, index);
 
-        const Holding needed = neededHolding(model);
+        const Availability required = requiredAvailability(model);
         for (const EngineSettings &engine : settings_.fleet.engines) {
-            const Holding holding = holdingOf(engine, factsOf(engine.id), model);
-            if (holding != Holding::No && holding >= needed)
+            const Availability availability =
+                availabilityOf(engine, reportedState(engine.id), model);
+            if (availability != Availability::No && availability >= required)
                 addMember(pool, indexes_.upstreams.indexOf(engine.id));
         }
         buildRing(pool);
     }
 
     /**
-        During a change of version both versions serve until half of the engines have the new one.
+        Returns which versions serve the model: during an update both of them, until half of the
+        engines have loaded the declared one.
 
-        Were the declared version alone to count, the first engine that loaded it would get the
-        whole model's traffic and fail under it, to be followed by the second.
+        If only the declared version served, the first engine to load it would get all of the
+        model's traffic and fail under it, and then the second one.
     */
-    Holding neededHolding(const ModelSettings &model) const
+    Availability requiredAvailability(const ModelSettings &model) const
     {
         std::size_t declared = 0;
         std::size_t other = 0;
         for (const EngineSettings &engine : settings_.fleet.engines) {
-            const Holding holding = holdingOf(engine, factsOf(engine.id), model);
-            declared += holding == Holding::DeclaredVersion ? 1 : 0;
-            other += holding == Holding::OtherVersion ? 1 : 0;
+            const Availability availability =
+                availabilityOf(engine, reportedState(engine.id), model);
+            declared += availability == Availability::DeclaredVersion ? 1 : 0;
+            other += availability == Availability::OtherVersion ? 1 : 0;
         }
-        return declared >= other ? Holding::DeclaredVersion : Holding::OtherVersion;
+        return declared >= other ? Availability::DeclaredVersion : Availability::OtherVersion;
     }
 
     void addMember(RoutingPool &pool, UpstreamIndex index)
@@ -188,14 +191,15 @@
         }
     }
 
-    /** Points depend on the engine's name alone, so that all instances agree on every home. */
+    /** Points depend only on the engine's name, so that all instances map prefixes alike. */
     void buildRing(RoutingPool &pool)
     {
-        std::vector<UpstreamIndex> readers = pool.mixed.all;
-        readers.insert(readers.end(), pool.prefill.all.begin(), pool.prefill.all.end());
-        if (readers.empty())
-            readers = pool.decode.all;
-        for (UpstreamIndex index : readers) {
+        std::vector<UpstreamIndex> prefillEngines = pool.mixed.all;
+        prefillEngines.insert(prefillEngines.end(), pool.prefill.all.begin(),
+                              pool.prefill.all.end());
+        if (prefillEngines.empty())
+            prefillEngines = pool.decode.all;
+        for (UpstreamIndex index : prefillEngines) {
             const std::uint64_t seed = customerSeed(table_.upstreams_[index].id.text());
             for (int point = 0; point < ringPointsPerEngine; ++point)
                 pool.ring.emplace_back(mixHash(seed, static_cast<std::uint64_t>(point) + 1), index);
--- a/modules/routing/table/StableIndexes.h
+++ b/modules/routing/table/StableIndexes.h
@@ -8,9 +8,9 @@
 namespace cuminrail {
 
 /**
-    The numbers of all names that requests are routed and admitted by.
+    Indexes of all names that routing and admission use.
 
-    One per process, owned by the control thread, and never rebuilt: numbers stay the same across
+    One per process, owned by the control thread, and never rebuilt: indexes stay the same across
     versions of the settings.
 
     @see buildRoutingTable, buildAdmissionSettings
@@ -22,7 +22,7 @@
     IndexRegistry<TeamId> teams;
     IndexRegistry<FailureDomainId> domains;
     IndexRegistry<std::string> adapters;
-    /** Models by "model:<id>", services by "service:<name>". */
+    /** Keys are "model:<id>" for models and "service:<name>" for services. */
     IndexRegistry<std::string> pools;
 };
 
