--- a/modules/routing/Router.h
+++ b/modules/routing/Router.h
@@ -40,8 +40,7 @@
     double kvBytesPerSecond = 1e10;
     /** Requests with a deadline may use reclaimable upstreams with at least this much slack. */
     Millis reclaimableSlack = Millis::seconds(20);
-    /** How much longer the predicted wait may be at a reclaimable upstream than at a regular one.
-     */
+    /** How much longer the wait may be at a reclaimable upstream than at a regular one. */
     Millis reclaimableBonus = Millis::seconds(1);
 };
 
--- a/modules/routing/Router_test.cpp
+++ b/modules/routing/Router_test.cpp
@@ -48,7 +48,7 @@
         build();
     }
 
-    void build() { table = buildRoutingTable(settings, facts, indexes); }
+    void build() { table = buildRoutingTable(settings, fleetState, indexes); }
 
     RoutingRequest request(std::uint32_t promptTokens = 400)
     {
@@ -81,7 +81,7 @@
     }
 
     Settings settings;
-    LiveFacts facts;
+    LiveFacts fleetState;
     StableIndexes indexes;
     RoutingTable table;
     LiveLoads loads{64, 8};
@@ -168,17 +168,17 @@
     // The platform reports an engine as leaving, but a list read afterwards is an older copy that
     // shows it as live. Requests sent there would be cut off when the engine stops.
     Fleet fleet(3);
-    fleet.facts.engines[UpstreamId("e1")] = {5, EngineRole::Mixed, {}, {}};
-    CHECK(fleet.facts.leaving.mark({UpstreamId("e1"), 5}));
-    CHECK_FALSE(fleet.facts.leaving.mark({UpstreamId("e1"), 5}));
-    CHECK_FALSE(fleet.facts.leaving.mark({UpstreamId("e1"), 4}));
+    fleet.fleetState.engines[UpstreamId("e1")] = {5, EngineRole::Mixed, {}, {}};
+    CHECK(fleet.fleetState.leaving.mark({UpstreamId("e1"), 5}));
+    CHECK_FALSE(fleet.fleetState.leaving.mark({UpstreamId("e1"), 5}));
+    CHECK_FALSE(fleet.fleetState.leaving.mark({UpstreamId("e1"), 4}));
     fleet.build();
     const UpstreamIndex leaving = fleet.indexes.upstreams.find(UpstreamId("e1"));
     CHECK(fleet.dispatch(fleet.request(), 60).count(leaving) == 0);
 
     SUBCASE("its next incarnation gets work again")
     {
-        fleet.facts.engines[UpstreamId("e1")].incarnation = 6;
+        fleet.fleetState.engines[UpstreamId("e1")].incarnation = 6;
         fleet.build();
         CHECK(fleet.dispatch(fleet.request(), 60).count(leaving) == 1);
     }
@@ -451,7 +451,7 @@
     const auto serving = [&](int updated) {
         for (int i = 0; i < 4; ++i) {
             const std::string version = i < updated ? "m@1" : "m@0";
-            fleet.facts.engines[UpstreamId("e" + std::to_string(i))] = {
+            fleet.fleetState.engines[UpstreamId("e" + std::to_string(i))] = {
                 1, EngineRole::Mixed, {version}, {}};
         }
         fleet.build();
@@ -468,8 +468,8 @@
     // Such an engine would answer the request with an error.
     Fleet fleet(6);
     fleet.settings.fleet.models[0].adapters = {"law"};
-    fleet.facts.engines[UpstreamId("e4")] = {1, EngineRole::Mixed, {}, {"law"}};
-    fleet.facts.engines[UpstreamId("e5")] = {1, EngineRole::None, {}, {"law"}};
+    fleet.fleetState.engines[UpstreamId("e4")] = {1, EngineRole::Mixed, {}, {"law"}};
+    fleet.fleetState.engines[UpstreamId("e5")] = {1, EngineRole::None, {}, {"law"}};
     fleet.build();
     RoutingRequest request = fleet.request();
     request.adapter = *fleet.table.findAdapter("law");
--- a/modules/routing/live/LiveLoads.h
+++ b/modules/routing/live/LiveLoads.h
@@ -76,7 +76,7 @@
     State that changes with every request: own requests in progress, load reports, outcomes.
 
     Shared by all request threads without locks. All counters are atomics; a selection that reads a
-    slightly stale value may only choose a slightly worse upstream. Takes sizeof(UpstreamLive) bytes
+    slightly stale value may only choose a slightly worse upstream. Takes sizeof(UpstreamLoad) bytes
     for each upstream and sizeof(TeamUsage) for each team of the capacity.
 */
 class LiveLoads
--- a/modules/routing/table/RoutingTable.h
+++ b/modules/routing/table/RoutingTable.h
@@ -170,7 +170,7 @@
     An engine's reported role, models and adapters take precedence over its settings, because a
     request sent to an engine that has not loaded the model yet would fail.
 */
-RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &facts,
+RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &fleetState,
                                StableIndexes &indexes);
 
 } // namespace cuminrail
--- a/modules/routing/table/RoutingTableBuilder.cpp
+++ b/modules/routing/table/RoutingTableBuilder.cpp
@@ -19,17 +19,17 @@
 /** Which version of a model an engine serves, if any. */
 enum class Availability : std::uint8_t { No, OtherVersion, DeclaredVersion };
 
-Availability availabilityOf(const EngineSettings &engine, const ReportedEngineState *facts,
+Availability availabilityOf(const EngineSettings &engine, const ReportedEngineState *reported,
                             const ModelSettings &model)
 {
-    if (facts == nullptr || facts->models.empty()) {
+    if (reported == nullptr || reported->models.empty()) {
         const bool listed =
             std::find(engine.models.begin(), engine.models.end(), model.id) != engine.models.end();
         return listed ? Availability::DeclaredVersion : Availability::No;
     }
     const std::string declared = model.id.text() + "@" + model.version;
     Availability best = Availability::No;
-    for (const std::string &loaded : facts->models) {
+    for (const std::string &loaded : reported->models) {
         if (loaded == declared || loaded == model.id.text())
             return Availability::DeclaredVersion;
         if (withoutVersion(loaded) == model.id.text())
@@ -44,8 +44,9 @@
 class RoutingTableBuilder
 {
 public:
-    RoutingTableBuilder(const Settings &settings, const LiveFacts &facts, StableIndexes &indexes)
-        : settings_(settings), facts_(facts), indexes_(indexes)
+    RoutingTableBuilder(const Settings &settings, const LiveFacts &fleetState,
+                        StableIndexes &indexes)
+        : settings_(settings), fleetState_(fleetState), indexes_(indexes)
     { }
 
     RoutingTable build()
@@ -66,8 +67,8 @@
 private:
     const ReportedEngineState *reportedState(const UpstreamId &engine) const
     {
-        const auto entry = facts_.engines.find(engine);
-        return entry == facts_.engines.end() ? nullptr : &entry->second;
+        const auto entry = fleetState_.engines.find(engine);
+        return entry == fleetState_.engines.end() ? nullptr : &entry->second;
     }
 
     RoutedUpstream &upstreamAt(const UpstreamId &id)
@@ -88,23 +89,23 @@
     void addEngines()
     {
         for (const EngineSettings &engine : settings_.fleet.engines) {
-            const ReportedEngineState *facts = reportedState(engine.id);
+            const ReportedEngineState *reported = reportedState(engine.id);
             RoutedUpstream &routed = upstreamAt(engine.id);
             routed.id = engine.id;
             routed.address = engine.address;
             routed.domain = indexes_.domains.indexOf(engine.domain);
-            routed.role = facts != nullptr
-                ? facts->role
+            routed.role = reported != nullptr
+                ? reported->role
                 : engineRoleNames.value(engine.role).value_or(EngineRole::Mixed);
             routed.costClass = costClassNames.value(engine.costClass).value_or(CostClass::Regular);
-            routed.incarnation = facts != nullptr ? facts->incarnation : 0;
+            routed.incarnation = reported != nullptr ? reported->incarnation : 0;
             routed.slots = engine.concurrentRequests;
             routed.prefillTokensPerSecond = engine.prefillTokensPerSecond;
             routed.decodeTokensPerSecond = engine.decodeTokensPerSecond;
             routed.takesNewWork = routed.role != EngineRole::None
-                && !facts_.leaving.contains(engine.id, routed.incarnation);
-            if (facts != nullptr)
-                addAdapters(routed, facts->adapters);
+                && !fleetState_.leaving.contains(engine.id, routed.incarnation);
+            if (reported != nullptr)
+                addAdapters(routed, reported->adapters);
         }
     }
 
@@ -118,13 +119,14 @@
     {
         for (const ServiceSettings &service : settings_.fleet.services) {
             for (const ServiceUpstreamSettings &upstream : service.upstreams) {
-                const ReportedEngineState *facts = reportedState(upstream.id);
+                const ReportedEngineState *reported = reportedState(upstream.id);
                 RoutedUpstream &routed = upstreamAt(upstream.id);
                 routed.id = upstream.id;
                 routed.address = upstream.address;
                 routed.domain = indexes_.domains.indexOf(upstream.domain);
-                routed.incarnation = facts != nullptr ? facts->incarnation : 0;
-                routed.takesNewWork = !facts_.leaving.contains(upstream.id, routed.incarnation);
+                routed.incarnation = reported != nullptr ? reported->incarnation : 0;
+                routed.takesNewWork =
+                    !fleetState_.leaving.contains(upstream.id, routed.incarnation);
             }
         }
     }
@@ -247,15 +249,15 @@
     }
 
     const Settings &settings_;
-    const LiveFacts &facts_;
+    const LiveFacts &fleetState_;
     StableIndexes &indexes_;
     RoutingTable table_;
 };
 
-RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &facts,
+RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &fleetState,
                                StableIndexes &indexes)
 {
-    return RoutingTableBuilder(settings, facts, indexes).build();
+    return RoutingTableBuilder(settings, fleetState, indexes).build();
 }
 
 } // namespace cuminrail
