--- a/modules/admission/AdmissionController.cpp
+++ b/modules/admission/AdmissionController.cpp
@@ -23,7 +23,7 @@
 PoolUse AdmissionController::use(PoolIndex pool) const
 {
     const detail::Pool &state = state_->pool(pool);
-    return {state.running, state.readingTokens};
+    return {state.running, state.prefillTokens};
 }
 
 void AdmissionController::setLocalShare(CustomerIndex customer, const LocalShare &share, Millis now)
@@ -73,8 +73,8 @@
     CustomerUse use;
     use.running = state.limiter.running();
     use.queued = state.queued;
-    use.requestsPerSecond = state.requests.perSecond(now);
-    use.tokensPerSecond = state.tokens.perSecond(now);
+    use.requestsPerSecond = state.requestRate.perSecond(now);
+    use.tokensPerSecond = state.tokenRate.perSecond(now);
     use.shortOfBudget = state.shortOfBudget;
     state.shortOfBudget = false;
     return use;
@@ -91,7 +91,7 @@
 {
     AdmissionChanges changes;
     state_->customer(customer).limiter.addCredit(credit, now);
-    state_->retryLimited(customer, changes, now);
+    state_->retryDeferred(customer, changes, now);
     return changes;
 }
 
--- a/modules/admission/AdmissionController.h
+++ b/modules/admission/AdmissionController.h
@@ -14,65 +14,64 @@
 class AdmissionState;
 }
 
-/** Constants of the admission policy. docs/LIMITS.md says how they were chosen. */
+/** Tunables of the admission policy; docs/LIMITS.md explains them. */
 struct AdmissionOptions
 {
-    /** Prompt tokens in progress, as a share of what is read within the first-token target. */
+    /** Prompt tokens in prefill, as a share of what the pool does within its first-token target. */
     double prefillWindow = 0.6;
-    /** An interactive request is hopeless past this multiple of the first-token target... */
-    double interactivePatience = 0.9;
-    /** ... and a standard one past this multiple. */
-    double standardPatience = 4;
-    /** ... but each may wait for this share of its target. */
-    double smallestWait = 0.1;
+    /** A request expires when its estimated first token would exceed this part of its target. */
+    double targetTimeoutFactor = 0.9;
+    /** The target of a standard request, as a multiple of the target of an interactive one. */
+    double standardTargetFactor = 4;
+    /** Every request may wait at least this share of its target. */
+    double minWaitFactor = 0.1;
     /** Share of the target that a request may spend between admission and first token. */
-    double engineShare = 1.0;
-    /** A batch request without a deadline waits this long. */
-    Millis batchPatience = Millis::minutes(5);
-    /** Where a prompt alone takes long to read, its target is this multiple of that time. */
-    double readingPatience = 2;
-    /** Share of the token target that an answer's tokens take, for deadlines. */
-    double tokenTimeShare = 0.6;
-    /** How long a request waits for its customer's limit before it is refused. */
-    Millis limitWait = Millis(500);
-    /** Output tokens weigh this much more than prompt tokens. */
+    double engineTargetFactor = 1.0;
+    /** How long a batch request without a deadline may wait. */
+    Millis batchTimeout = Millis::minutes(5);
+    /** The target of a long prompt is at least this multiple of its prefill time. */
+    double prefillTargetFactor = 2;
+    /** Estimated time per output token as a share of the token target, for deadline checks. */
+    double tokenTimeFactor = 0.6;
+    /** How long a request is deferred by its customer's limits before it is refused. */
+    Millis limitTimeout = Millis(500);
+    /** Cost of an output token relative to a prompt token. */
     double outputTokenCost = 4;
-    /** Batch work is charged this much more, so that it yields and still is not starved. */
+    /** Cost factor of batch work, so that it yields to other work without starving. */
     double batchCost = 8;
-    /** Requests that may wait at one instance: bounds memory. */
+    /** Maximum number of requests queued at one instance, which bounds its memory. */
     std::size_t maxQueued = 4096;
-    /** How long a customer's limit may be saved up, as a burst. */
+    /** Burst size of a customer's rate limits, as the time over which unused rate accumulates. */
     Millis burst = Millis::seconds(2);
 };
 
-/** What the admission controller knows of a customer, for `/state` and for budgets. */
+/** A customer's current use of this instance, for `/state` and for the budget ledger. */
 struct CustomerUse
 {
     std::uint32_t running = 0;
     std::uint32_t queued = 0;
-    /** What the customer asked for lately, admitted or not. */
+    /** Recent rate of the customer's requests, whether admitted or not. */
     double requestsPerSecond = 0;
     double tokensPerSecond = 0;
-    /** True when its limits held a request back or refused one since the last look. */
+    /** True when its limits deferred or refused a request since the last customerUse(). */
     bool shortOfBudget = false;
 };
 
 /**
-    Decides which request runs next at this instance: limits, fair shares, early refusal.
+    Decides which request runs next at this instance: customer limits, fair shares, early refusal.
 
-    Requests wait here and not at the engines, because only here are they ordered fairly. What is
-    in progress at a pool is bounded by the instance's share of its capacity (setCapacity). Waiting
-    requests are served by start-time fair queueing over customers, by cost in tokens; within a
-    customer by priority, then deadline.
+    Requests are queued here and not at the engines, because only this queue is ordered fairly. The
+    work in progress at a pool is bounded by the instance's share of its capacity (setCapacity()).
+    Queued requests are admitted by start-time fair queueing over customers, by cost in tokens;
+    within a customer by priority, then deadline.
 
-    How it is guarded: not thread-safe. The adapter holds one mutex around each call; calls take
-    microseconds and never call out. At a thousand requests a second an instance spends under one
-    percent of a core inside.
+    Not thread-safe: the caller holds one mutex around each call. Calls take microseconds and invoke
+    no callbacks. A thousand requests a second take less than one percent of a core.
 
-    A request's life: submit(); if queued, its ticket appears once in an AdmissionChanges; once
-    admitted firstToken() and finished(), or cancel() at any time instead. Every call that returns
-    AdmissionChanges must be acted upon at once: tickets in `refused` are over, tickets in
-    `admitted` hold capacity.
+    Call order for a request: submit(); if queued, its ticket appears once in an AdmissionChanges;
+    once admitted, firstToken() and finished(), or cancel() at any time instead. The caller must
+    handle every returned AdmissionChanges at once: tickets in `refused` are invalid, tickets in
+    `admitted` occupy capacity.
 */
 class AdmissionController
 {
@@ -82,7 +81,7 @@
     AdmissionController(const AdmissionController &) = delete;
     AdmissionController &operator=(const AdmissionController &) = delete;
 
-    /** Takes newer settings. Requests in progress keep their tickets. */
+    /** Applies new settings. Requests in progress keep their tickets. */
     void configure(const AdmissionSettings &settings, Millis now);
 
     /** Sets this instance's share of a pool's capacity. @see instanceCapacity */
@@ -94,35 +93,35 @@
     /**
         Sets the part of a customer's limits that this instance may use now.
 
-        Kinds of limit that the customer does not have are not looked at. Until it is called the
-        whole limit counts. @see BudgetLedger
+        Limits that the customer does not have are ignored. Before the first call the full limits
+        apply. @see BudgetLedger
     */
     void setLocalShare(CustomerIndex customer, const LocalShare &share, Millis now);
 
-    /** A request arrived. */
+    /** Admits, queues or refuses a new request. */
     AdmissionDecision submit(const AdmissionRequest &request, Millis now);
 
-    /** The first token of an admitted request arrived: its prompt is read. */
+    /** Call when the first token of an admitted request arrives: prefill is done. */
     AdmissionChanges firstToken(AdmissionTicket ticket, Millis now);
 
-    /** An admitted request is over. @param outputTokens what it really produced. */
+    /** Call when an admitted request has ended. @param outputTokens  the number it produced. */
     AdmissionChanges finished(AdmissionTicket ticket, std::uint32_t outputTokens, Millis now);
 
-    /** The caller of a waiting or admitted request left, and nothing ran for it. */
+    /** Removes a queued or admitted request whose caller disconnected, and charges no output. */
     AdmissionChanges cancel(AdmissionTicket ticket, Millis now);
 
-    /** Time passed: refuses what is hopeless, admits what limits held back. Every 10 ms or so. */
+    /** Refuses expired requests and admits deferred ones. Call about every 10 ms. */
     AdmissionChanges tick(Millis now);
 
     std::size_t queued() const;
     std::size_t running() const;
     CustomerUse customerUse(CustomerIndex customer, Millis now);
 
-    /** Moves credit of a customer's buckets, when a budget is lent. Returns what was there. */
+    /** Removes credit from a customer's token buckets to lend it. Returns the amount removed. */
     LocalShare takeCredit(CustomerIndex customer, const LocalShare &wanted, Millis now);
     AdmissionChanges addCredit(CustomerIndex customer, const LocalShare &credit, Millis now);
 
-    /** Returns the bytes held for customers and requests, for the capacity page. */
+    /** Returns the estimated memory used for customers and requests, for the capacity page. */
     std::size_t memoryBytes() const;
 
 private:
--- a/modules/admission/AdmissionTypes.h
+++ b/modules/admission/AdmissionTypes.h
@@ -11,10 +11,10 @@
 
 namespace cuminrail {
 
-/** Names a request that waits or runs, from submit() to finished() or cancel(). Never zero. */
+/** Identifies a queued or running request, from submit() to finished() or cancel(). Never zero. */
 using AdmissionTicket = std::uint64_t;
 
-/** Why a request was refused; the names are the stable codes of docs/INTERFACES.md. */
+/** Why a request was refused; the names are the error codes listed in docs/INTERFACES.md. */
 enum class RefusalCode : std::uint8_t {
     RateLimited,
     ConcurrencyLimited,
@@ -29,7 +29,7 @@
     {RefusalCode::DeadlineUnreachable, "deadline_unreachable"},
 }}};
 
-/** What admission has to know of a request. */
+/** The properties of a request that admission depends on. */
 struct AdmissionRequest
 {
     CustomerIndex customer = noIndex;
@@ -38,32 +38,32 @@
     std::uint32_t promptTokens = 0;
     /** The caller's max_tokens, or the model's limit. */
     std::uint32_t maxOutputTokens = 0;
-    /** The instant after which the answer is of no use; Millis::never() for none. */
+    /** The instant after which the response is useless; Millis::never() for none. */
     Millis deadline = Millis::never();
 };
 
 enum class AdmissionKind : std::uint8_t {
     Admitted,
-    /** Wait for the ticket in an AdmissionChanges. */
+    /** A later AdmissionChanges contains the ticket. */
     Queued,
-    /** Answer the caller now. */
+    /** The caller gets the refusal at once. */
     Refused,
 };
 
-/** The answer to submit(). */
+/** The result of submit(). */
 struct AdmissionDecision
 {
     AdmissionKind kind = AdmissionKind::Refused;
     /** Zero when refused. */
     AdmissionTicket ticket = 0;
-    /** Output tokens that the request is expected to produce; for routing. */
+    /** Estimated output tokens of the request, for routing. */
     std::uint32_t expectedOutputTokens = 0;
     RefusalCode code = RefusalCode::Overloaded;
-    /** When coming back makes sense. */
+    /** Delay after which a retry may be admitted. */
     Millis retryAfter;
 };
 
-/** A ticket that waited and is given up; its caller gets the answer at once. */
+/** A queued request that is refused; its caller gets the refusal at once. */
 struct RefusedTicket
 {
     AdmissionTicket ticket = 0;
@@ -71,72 +71,72 @@
     Millis retryAfter;
 };
 
-/** What a call changed for requests that waited. */
+/** Queued requests that a call admitted or refused. */
 struct AdmissionChanges
 {
     std::vector<AdmissionTicket> admitted;
     std::vector<RefusedTicket> refused;
 };
 
-/** One customer's row, by CustomerIndex. */
+/** Admission settings of one customer. */
 struct AdmittedCustomer
 {
     CustomerId id;
     double weight = 1;
-    /** Over all instances; zero for no limit. */
+    /** Limits over all instances; zero for no limit. */
     CustomerLimits limits;
     bool present = false;
 };
 
-/** One model's or service's row, by PoolIndex. */
-struct AdmittedPool
+/** Admission settings of one model or service. */
+struct AdmissionPool
 {
     Millis firstTokenTarget{750};
     Millis tokenTarget{51};
-    /** A plain service: neither window nor tokens, customer limits alone. */
+    /** A plain service: only the customer limits apply, neither the window nor token counts. */
     bool isService = false;
 };
 
-/** What admission reads of the settings. */
+/** The settings that admission depends on, indexed by CustomerIndex and PoolIndex. */
 struct AdmissionSettings
 {
     std::vector<AdmittedCustomer> customers;
-    std::vector<AdmittedPool> pools;
+    std::vector<AdmissionPool> pools;
 };
 
-/** What this instance may have in progress at one pool: its share of what the pool carries. */
+/** What may be in progress at a pool, in total or from one instance. */
 struct AdmissionCapacity
 {
-    /** Requests at once; 0 for no limit. */
+    /** Maximum concurrent requests; 0 for no limit. */
     double slots = 0;
-    /** Speed at which prompts are read; 0 for no limit. */
+    /** Total prefill rate; 0 for no limit. */
     double prefillTokensPerSecond = 0;
     double decodeTokensPerSecond = 0;
-    /** Speed at which one engine reads one prompt; 0 when unknown. */
+    /** Prefill rate of a single engine; 0 when unknown. */
     double enginePrefillTokensPerSecond = 0;
 };
 
-/** How much of a pool is in use, by load reports and own counters. */
+/** How much of a pool is in use, from load reports and own counters. */
 struct PoolUse
 {
     double requests = 0;
-    /** Prompt tokens that wait to be read. */
+    /** Prompt tokens queued for or in prefill. */
     double promptTokens = 0;
 };
 
 /**
-    Returns how much of a pool this instance may have in progress.
-
-    An equal share for each instance, and beyond it a part of what the reports say is free, so that
-    no capacity idles when the balancer spreads callers unevenly. All instances may take a part of
-    the same free capacity until the next report: at most twice what was free, for one report's
-    age; the excess waits at the engines.
-
-    @param whole      what the pool carries
-    @param used       what all instances use of it
-    @param own        what this instance uses of it
-    @param instances  live instances, at least 1
-    @param window     how long a prompt may wait to be read
+    Returns the part of a pool's capacity that this instance may use.
+
+    This is an equal share for each instance plus a part of what is free according to the reports,
+    so that no capacity idles when the load balancer distributes callers unevenly. Until the next
+    report, all instances may take a part of the same free capacity: at most twice what was free,
+    for one report's age; the excess is queued at the engines.
+
+    @param whole      the pool's total capacity
+    @param used       use by all instances
+    @param own        use by this instance
+    @param instances  number of live instances, at least 1
+    @param window     how long a prompt may wait for prefill
 */
 AdmissionCapacity instanceCapacity(const AdmissionCapacity &whole, const PoolUse &used,
                                    const PoolUse &own, double instances,
--- a/modules/admission/admission.h
+++ b/modules/admission/admission.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
-    Which requests run, in which order, and which are refused.
+    Admission control: which requests run, in which order, and which are refused.
 
-    Purpose: limits of customers over all instances (budgets lent between them), fair queueing by
-    cost, deadlines, early refusal. docs/LIMITS.md has the design and the operators' view.
+    Purpose: customer limits shared by all instances (which lend each other budget), fair queueing
+    by cost, deadlines, early refusal. docs/LIMITS.md has the design and the operators' view.
 
     Depends on: core, settings, nlohmann-json (messages between instances).
 */
--- a/modules/admission/budget/BudgetLedger.cpp
+++ b/modules/admission/budget/BudgetLedger.cpp
@@ -13,12 +13,12 @@
 constexpr BudgetKind kinds[] = {BudgetKind::RequestRate, BudgetKind::Concurrency,
                                 BudgetKind::TokenRate};
 
-std::size_t at(BudgetKind kind)
+std::size_t kindIndex(BudgetKind kind)
 {
     return static_cast<std::size_t>(kind) % budgetKindNames.entries.size();
 }
 
-double partOf(const LocalShare &share, BudgetKind kind)
+double amountOf(const LocalShare &share, BudgetKind kind)
 {
     switch (kind) {
     case BudgetKind::RequestRate:
@@ -31,7 +31,7 @@
     return 0;
 }
 
-LocalShare only(BudgetKind kind, double amount)
+LocalShare shareWith(BudgetKind kind, double amount)
 {
     LocalShare share;
     if (kind == BudgetKind::RequestRate)
@@ -43,8 +43,8 @@
     return share;
 }
 
-/** The same at all instances, so that they agree on who holds a small limit. */
-std::uint64_t placeHash(const InstanceId &instance, const CustomerId &customer)
+/** Rendezvous hash, equal at all instances, so that they agree on the holders of a small limit. */
+std::uint64_t rankHash(const InstanceId &instance, const CustomerId &customer)
 {
     std::uint64_t hash = 0xCBF29CE484222325ULL;
     for (const std::string *text : {&customer.text(), &instance.text()}) {
@@ -86,11 +86,11 @@
         rows_[index].customer = customers[index];
         if (customers[index].present)
             indexes_.emplace(customers[index].id, index);
-        divide(rows_[index]);
+        computeShares(rows_[index]);
     }
-    endLoans(now);
+    expireLoans(now);
     for (CustomerIndex index = 0; index < rows_.size(); ++index)
-        putInForce(index);
+        applyShare(index);
 }
 
 void BudgetLedger::setMembers(const std::vector<InstanceId> &members, Millis now)
@@ -98,7 +98,7 @@
     for (auto &[member, until] : members_) {
         const bool live =
             member == self_ || std::find(members.begin(), members.end(), member) != members.end();
-        // What a dead instance had lent is still in use, and it may only be out of reach.
+        // The instance may only be unreachable, and its borrowers still use what it had lent.
         if (!live && until == Millis::never())
             until = now + options_.holdDown;
         else if (live)
@@ -106,18 +106,18 @@
     }
     for (const InstanceId &member : members)
         members_.emplace(member, Millis::never());
-    dropMembers(now);
+    removeExpiredMembers(now);
     for (CustomerIndex index = 0; index < rows_.size(); ++index) {
-        divide(rows_[index]);
-        putInForce(index);
+        computeShares(rows_[index]);
+        applyShare(index);
     }
 }
 
-void BudgetLedger::dropMembers(Millis now)
+void BudgetLedger::removeExpiredMembers(Millis now)
 {
     for (auto member = members_.begin(); member != members_.end();) {
         if (member->second <= now) {
-            answered_.erase(member->first);
+            lastHandled_.erase(member->first);
             member = members_.erase(member);
         } else {
             ++member;
@@ -130,70 +130,70 @@
     const CustomerLimits &limits = row.customer.limits;
     if (!row.customer.present)
         return 0;
-    return partOf({limits.requestsPerSecond, static_cast<double>(limits.concurrentRequests),
-                   limits.tokensPerSecond},
-                  kind);
+    return amountOf({limits.requestsPerSecond, static_cast<double>(limits.concurrentRequests),
+                     limits.tokensPerSecond},
+                    kind);
 }
 
-double BudgetLedger::smallest(BudgetKind kind) const
+double BudgetLedger::minPart(BudgetKind kind) const
 {
-    return partOf(
-        {options_.smallestRequestRate, options_.smallestConcurrency, options_.smallestTokenRate},
-        kind);
+    return amountOf({options_.minRequestRate, options_.minConcurrency, options_.minTokenRate},
+                    kind);
 }
 
-/** A rate that lies at few instances is handed over as credit, never as a part of the rate. */
-bool BudgetLedger::isHandedOver(const Row &row, BudgetKind kind) const
+/** A rate held by few instances is transferred as credit, never as a part of the rate. */
+bool BudgetLedger::movesAsCredit(const Row &row, BudgetKind kind) const
 {
-    return kind != BudgetKind::Concurrency && row.holders[at(kind)] < members_.size();
+    return kind != BudgetKind::Concurrency && row.holders[kindIndex(kind)] < members_.size();
 }
 
-void BudgetLedger::divide(Row &row) const
+void BudgetLedger::computeShares(Row &row) const
 {
     for (BudgetKind kind : kinds)
-        divideKind(row, kind);
+        computeShare(row, kind);
 }
 
-void BudgetLedger::divideKind(Row &row, BudgetKind kind) const
+void BudgetLedger::computeShare(Row &row, BudgetKind kind) const
 {
     const double limit = limitOf(row, kind);
-    row.defaults[at(kind)] = 0;
-    row.holders[at(kind)] = members_.size();
+    row.baseShares[kindIndex(kind)] = 0;
+    row.holders[kindIndex(kind)] = members_.size();
     if (limit <= 0)
         return;
-    const auto worth = static_cast<std::size_t>(std::max(1.0, limit / smallest(kind)));
-    const std::size_t holders = std::min(worth, members_.size());
-    row.holders[at(kind)] = holders;
-    const bool whole = kind == BudgetKind::Concurrency;
-    if (!whole && holders == members_.size()) {
-        row.defaults[at(kind)] = limit / static_cast<double>(holders);
+    const auto maxHolders = static_cast<std::size_t>(std::max(1.0, limit / minPart(kind)));
+    const std::size_t holders = std::min(maxHolders, members_.size());
+    row.holders[kindIndex(kind)] = holders;
+    const bool inWholeRequests = kind == BudgetKind::Concurrency;
+    if (!inWholeRequests && holders == members_.size()) {
+        row.baseShares[kindIndex(kind)] = limit / static_cast<double>(holders);
         return;
     }
     const std::size_t rank = rankOf(self_, row.customer.id);
     if (rank >= holders)
         return;
-    const double even = limit / static_cast<double>(holders);
-    // Concurrency comes in whole requests; the first ranks take what does not divide.
-    const double rest = limit - std::floor(even) * static_cast<double>(holders);
-    const double extra = static_cast<double>(rank) < rest ? 1 : 0;
-    row.defaults[at(kind)] = whole ? std::floor(even) + extra : even;
+    const double evenPart = limit / static_cast<double>(holders);
+    // Concurrency is divided in whole requests; the first ranks get the remainder.
+    const double remainder = limit - std::floor(evenPart) * static_cast<double>(holders);
+    const double extra = static_cast<double>(rank) < remainder ? 1 : 0;
+    row.baseShares[kindIndex(kind)] = inWholeRequests ? std::floor(evenPart) + extra : evenPart;
 }
 
 std::size_t BudgetLedger::rankOf(const InstanceId &instance, const CustomerId &customer) const
 {
-    const std::uint64_t own = placeHash(instance, customer);
+    const std::uint64_t ownHash = rankHash(instance, customer);
     return static_cast<std::size_t>(
-        std::count_if(members_.begin(), members_.end(),
-                      [&](const auto &member) { return placeHash(member.first, customer) > own; }));
+        std::count_if(members_.begin(), members_.end(), [&](const auto &member) {
+            return rankHash(member.first, customer) > ownHash;
+        }));
 }
 
-InstanceId BudgetLedger::lenderFor(const Row &row, BudgetKind kind)
+InstanceId BudgetLedger::selectLender(const Row &row, BudgetKind kind)
 {
     std::vector<std::pair<std::uint64_t, InstanceId>> order;
     for (const auto &[member, until] : members_)
-        order.emplace_back(placeHash(member, row.customer.id), member);
+        order.emplace_back(rankHash(member, row.customer.id), member);
     std::sort(order.rbegin(), order.rend());
-    order.resize(std::min(order.size(), row.holders[at(kind)]));
+    order.resize(std::min(order.size(), row.holders[kindIndex(kind)]));
     order.erase(std::remove_if(order.begin(), order.end(),
                                [&](const auto &entry) { return entry.second == self_; }),
                 order.end());
@@ -205,7 +205,9 @@
 double BudgetLedger::available(CustomerIndex index, BudgetKind kind) const
 {
     const Row &row = rows_[index];
-    return std::max(0.0, row.defaults[at(kind)] - row.given[at(kind)] + row.taken[at(kind)]);
+    return std::max(0.0,
+                    row.baseShares[kindIndex(kind)] - row.lent[kindIndex(kind)]
+                        + row.borrowed[kindIndex(kind)]);
 }
 
 LocalShare BudgetLedger::share(CustomerIndex customer) const
@@ -215,53 +217,54 @@
             available(customer, BudgetKind::TokenRate)};
 }
 
-void BudgetLedger::putInForce(CustomerIndex index)
+void BudgetLedger::applyShare(CustomerIndex index)
 {
     if (!rows_[index].customer.present)
         return;
     hooks_.setShare(index, share(index));
 }
 
-void BudgetLedger::endLoans(Millis now)
+void BudgetLedger::expireLoans(Millis now)
 {
-    endLoans(given_, &Row::given, now);
-    endLoans(taken_, &Row::taken, now);
-    for (auto request = asked_.begin(); request != asked_.end();)
-        request =
-            request->second + options_.term <= now ? asked_.erase(request) : std::next(request);
+    expireLoans(lent_, &Row::lent, now);
+    expireLoans(borrowed_, &Row::borrowed, now);
+    for (auto request = pendingRequests_.begin(); request != pendingRequests_.end();)
+        request = request->second + options_.term <= now ? pendingRequests_.erase(request)
+                                                         : std::next(request);
 }
 
-void BudgetLedger::endLoans(Loans &loans, Sums sums, Millis now)
+void BudgetLedger::expireLoans(Loans &loans, LoanTotal total, Millis now)
 {
     for (auto loan = loans.begin(); loan != loans.end();) {
-        if (loan->second.end > now) {
+        if (loan->second.expiresAt > now) {
             ++loan;
             continue;
         }
         const auto [other, index, kind] = loan->first;
-        (rows_[index].*sums)[at(kind)] -= loan->second.amount;
+        (rows_[index].*total)[kindIndex(kind)] -= loan->second.amount;
         loan = loans.erase(loan);
-        putInForce(index);
+        applyShare(index);
     }
 }
 
-void BudgetLedger::setLoan(Loans &loans, Sums sums, const LoanKey &key, const Loan &loan)
+void BudgetLedger::setLoan(Loans &loans, LoanTotal total, const LoanKey &key, const Loan &loan)
 {
     const auto [other, index, kind] = key;
     Loan &entry = loans[key];
-    (rows_[index].*sums)[at(kind)] += loan.amount - entry.amount;
+    (rows_[index].*total)[kindIndex(kind)] += loan.amount - entry.amount;
     entry = loan;
 }
 
-/** Asks lenders for a longer term where the work in progress still needs the loan. */
-void BudgetLedger::renew(Millis now, std::map<InstanceId, BorrowRequest> &requests)
+/** Requests a renewal of loans that the current demand still needs. */
+void BudgetLedger::renewLoans(Millis now, std::map<InstanceId, BorrowRequest> &requests)
 {
-    for (const auto &[key, loan] : taken_) {
+    for (const auto &[key, loan] : borrowed_) {
         const auto &[lender, index, kind] = key;
-        if (loan.end > now + options_.term / 2 || now < rows_[index].askFrom[at(kind)])
+        if (loan.expiresAt > now + options_.term / 2
+            || now < rows_[index].nextRequestAt[kindIndex(kind)])
             continue;
-        const double without = available(index, kind) - loan.amount;
-        if (demandOf(kind, hooks_.use(index)) > without)
+        const double availableWithout = available(index, kind) - loan.amount;
+        if (demandOf(kind, hooks_.use(index)) > availableWithout)
             requests[lender].items.push_back({rows_[index].customer.id, kind, 0, 0});
     }
 }
@@ -269,69 +272,69 @@
 void BudgetLedger::poll(Millis now)
 {
     const std::size_t before = members_.size();
-    dropMembers(now);
+    removeExpiredMembers(now);
     if (members_.size() != before) {
         for (CustomerIndex index = 0; index < rows_.size(); ++index) {
-            divide(rows_[index]);
-            putInForce(index);
+            computeShares(rows_[index]);
+            applyShare(index);
         }
     }
-    endLoans(now);
+    expireLoans(now);
     if (members_.size() < 2)
         return;
     std::map<InstanceId, BorrowRequest> requests;
-    renew(now, requests);
+    renewLoans(now, requests);
     for (CustomerIndex index = 0; index < rows_.size(); ++index)
-        askFor(index, now, requests);
+        requestMissing(index, now, requests);
     for (auto &[lender, request] : requests) {
         request.borrower = self_;
         request.incarnation = incarnation_;
-        request.number = nextNumber_++;
-        asked_.emplace(request.number, now);
+        request.sequence = nextSequence_++;
+        pendingRequests_.emplace(request.sequence, now);
         BudgetMessage message;
         message.borrow = std::move(request);
         hooks_.send(lender, encodeBudgetMessage(message));
     }
 }
 
-/** Returns how much of this limit is missing here, 0 for none. */
-double BudgetLedger::wanted(const Row &row, CustomerIndex index, BudgetKind kind,
-                            const CustomerUse &use, Millis now) const
+/** Returns the amount of this limit to request from a lender, 0 for none. */
+double BudgetLedger::missingAmount(const Row &row, CustomerIndex index, BudgetKind kind,
+                                   const CustomerUse &use, Millis now) const
 {
-    const double have = available(index, kind);
+    const double availableAmount = available(index, kind);
     const double demand = demandOf(kind, use);
-    if (now < row.askFrom[at(kind)])
+    if (now < row.nextRequestAt[kindIndex(kind)])
         return 0;
-    if (isHandedOver(row, kind)) {
+    if (movesAsCredit(row, kind)) {
         const double credit =
-            kind == BudgetKind::RequestRate ? std::max(1U, use.queued) : smallest(kind) / 4;
+            kind == BudgetKind::RequestRate ? std::max(1U, use.queued) : minPart(kind) / 4;
         return use.shortOfBudget ? credit : 0;
     }
     const double step = kind == BudgetKind::Concurrency ? 1 : 0;
-    return demand > have ? std::max(step, demand - have) : 0;
+    return demand > availableAmount ? std::max(step, demand - availableAmount) : 0;
 }
 
-void BudgetLedger::askFor(CustomerIndex index, Millis now,
-                          std::map<InstanceId, BorrowRequest> &requests)
+void BudgetLedger::requestMissing(CustomerIndex index, Millis now,
+                                  std::map<InstanceId, BorrowRequest> &requests)
 {
     Row &row = rows_[index];
-    const bool limited = std::any_of(std::begin(kinds), std::end(kinds),
-                                     [&](BudgetKind kind) { return limitOf(row, kind) > 0; });
-    if (!limited)
+    const bool hasLimit = std::any_of(std::begin(kinds), std::end(kinds),
+                                      [&](BudgetKind kind) { return limitOf(row, kind) > 0; });
+    if (!hasLimit)
         return;
     const CustomerUse use = hooks_.use(index);
     for (BudgetKind kind : kinds) {
         if (limitOf(row, kind) <= 0)
             continue;
-        const double missing = wanted(row, index, kind, use, now);
+        const double missing = missingAmount(row, index, kind, use, now);
         if (missing <= 0)
             continue;
-        const InstanceId lender = lenderFor(row, kind);
+        const InstanceId lender = selectLender(row, kind);
         if (lender.isEmpty())
             continue;
-        row.askFrom[at(kind)] = now + options_.askAgain;
+        row.nextRequestAt[kindIndex(kind)] = now + options_.retryInterval;
         BudgetItem item{row.customer.id, kind, missing, 0};
-        if (isHandedOver(row, kind))
+        if (movesAsCredit(row, kind))
             std::swap(item.amount, item.credit);
         requests[lender].items.push_back(item);
     }
@@ -342,31 +345,31 @@
     const auto message = decodeBudgetMessage(frame);
     if (!message)
         return;
-    endLoans(now);
+    expireLoans(now);
     if (message->borrow)
-        lend(*message->borrow, now);
+        handleBorrowRequest(*message->borrow, now);
     else if (message->grant)
-        borrow(*message->grant, now);
+        handleGrant(*message->grant, now);
 }
 
-void BudgetLedger::lend(const BorrowRequest &request, Millis now)
+void BudgetLedger::handleBorrowRequest(const BorrowRequest &request, Millis now)
 {
-    // A repeated request would take the same part away twice. An older one, overtaken by a newer,
-    // is no longer waited for.
-    auto &last = answered_[request.borrower];
-    const auto number = std::make_pair(request.incarnation, request.number);
-    if (number <= last || request.borrower == self_)
+    // A duplicate request would subtract the same part twice, and one that arrives after a newer
+    // request of the same borrower is obsolete.
+    auto &last = lastHandled_[request.borrower];
+    const auto requestId = std::make_pair(request.incarnation, request.sequence);
+    if (requestId <= last || request.borrower == self_)
         return;
-    last = number;
+    last = requestId;
     LoanGrant grant;
     grant.lender = self_;
     grant.incarnation = request.incarnation;
-    grant.number = request.number;
+    grant.sequence = request.sequence;
     grant.term = options_.term;
     for (const BudgetItem &item : request.items) {
-        const BudgetItem given = lendItem(request, item, now);
-        if (given.amount > 0 || given.credit > 0)
-            grant.items.push_back(given);
+        const BudgetItem granted = lendItem(request, item, now);
+        if (granted.amount > 0 || granted.credit > 0)
+            grant.items.push_back(granted);
     }
     if (grant.items.empty())
         return;
@@ -377,57 +380,58 @@
 
 BudgetItem BudgetLedger::lendItem(const BorrowRequest &request, const BudgetItem &item, Millis now)
 {
-    BudgetItem given{item.customer, item.kind, 0, 0};
+    BudgetItem granted{item.customer, item.kind, 0, 0};
     const CustomerIndex index = indexOf(item.customer);
     if (index == noIndex || limitOf(rows_[index], item.kind) <= 0)
-        return given;
+        return granted;
     const bool subtract = guardEnabled(Guard::LendSubtractsFirst);
     if (item.credit > 0) {
-        const LocalShare wish = only(item.kind, item.credit);
-        given.credit = subtract ? partOf(hooks_.takeCredit(index, wish), item.kind) : item.credit;
-        return given;
+        const LocalShare requested = shareWith(item.kind, item.credit);
+        granted.credit =
+            subtract ? amountOf(hooks_.takeCredit(index, requested), item.kind) : item.credit;
+        return granted;
     }
-    // What was borrowed is not lent on: it may end before the loan that was made of it.
+    // Borrowed budget is not lent on, because it may expire before the loan made of it.
     const Row &row = rows_[index];
-    const double own = row.defaults[at(item.kind)] - row.given[at(item.kind)];
-    const double need = demandOf(item.kind, hooks_.use(index)) * options_.keepFactor;
-    double spare = std::min({item.amount, own, available(index, item.kind) - need});
+    const double ownPart = row.baseShares[kindIndex(item.kind)] - row.lent[kindIndex(item.kind)];
+    const double reserved = demandOf(item.kind, hooks_.use(index)) * options_.reserveFactor;
+    double spare = std::min({item.amount, ownPart, available(index, item.kind) - reserved});
     if (item.kind == BudgetKind::Concurrency)
         spare = std::floor(spare);
     const LoanKey key{request.borrower, index, item.kind};
-    const auto before = given_.find(key);
-    const double lentBefore = before == given_.end() ? 0 : before->second.amount;
-    given.amount = lentBefore + std::max(0.0, spare);
-    if (given.amount <= 0)
-        return given;
-    // The borrower counts from when it asked, so its loan ends before this one does; the eighth
-    // covers clocks that run at different speeds.
+    const auto previous = lent_.find(key);
+    const double previouslyLent = previous == lent_.end() ? 0 : previous->second.amount;
+    granted.amount = previouslyLent + std::max(0.0, spare);
+    if (granted.amount <= 0)
+        return granted;
+    // The borrower counts the term from when it sent the request, so its loan expires before this
+    // one; the extra eighth covers clocks that run at different rates.
     if (subtract)
-        setLoan(given_, &Row::given, key, {given.amount, now + options_.term + options_.term / 8});
-    putInForce(index);
-    return given;
+        setLoan(lent_, &Row::lent, key, {granted.amount, now + options_.term + options_.term / 8});
+    applyShare(index);
+    return granted;
 }
 
-void BudgetLedger::borrow(const LoanGrant &grant, Millis now)
+void BudgetLedger::handleGrant(const LoanGrant &grant, Millis now)
 {
-    const auto request = asked_.find(grant.number);
-    if (grant.incarnation != incarnation_ || request == asked_.end())
+    const auto request = pendingRequests_.find(grant.sequence);
+    if (grant.incarnation != incarnation_ || request == pendingRequests_.end())
         return;
-    // Counted from its arrival, a loan that was delayed on the way would outlast the lender's.
-    const Millis from = guardEnabled(Guard::LoanCountedFromRequest) ? request->second : now;
-    asked_.erase(request);
+    // Counted from the arrival of the grant, a delayed loan would outlast the lender's record.
+    const Millis countedFrom = guardEnabled(Guard::LoanCountedFromRequest) ? request->second : now;
+    pendingRequests_.erase(request);
     for (const BudgetItem &item : grant.items) {
         const CustomerIndex index = indexOf(item.customer);
         if (index == noIndex)
             continue;
         if (item.credit > 0)
-            hooks_.addCredit(index, only(item.kind, item.credit));
+            hooks_.addCredit(index, shareWith(item.kind, item.credit));
         if (item.amount > 0)
-            setLoan(taken_, &Row::taken, {grant.lender, index, item.kind},
-                    {item.amount, from + grant.term});
-        putInForce(index);
+            setLoan(borrowed_, &Row::borrowed, {grant.lender, index, item.kind},
+                    {item.amount, countedFrom + grant.term});
+        applyShare(index);
     }
-    endLoans(now);
+    expireLoans(now);
 }
 
 CustomerIndex BudgetLedger::indexOf(const CustomerId &customer) const
--- a/modules/admission/budget/BudgetLedger_test.cpp
+++ b/modules/admission/budget/BudgetLedger_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr Millis start = Millis::seconds(1000);
 
-/** Instances with one limited customer, and messages that a test can lose, repeat or delay. */
+/** Instances with one limited customer, and a network that loses, duplicates or delays messages. */
 struct Group
 {
     struct Instance
@@ -27,13 +27,13 @@
         LocalShare share;
         LocalShare credit;
     };
-    struct Flying
+    struct InFlightMessage
     {
         std::size_t to;
         std::string frame;
         Millis arrives;
     };
-    /** Returns the delays at which a message arrives: none for lost, two for repeated. */
+    /** Returns the delay of each copy of a message that arrives; none when it is lost. */
     using Network = std::function<std::vector<Millis>(std::size_t from, std::size_t to)>;
 
     Group(std::size_t count, const CustomerLimits &limits)
@@ -63,16 +63,16 @@
             const auto entry = std::find(ids.begin(), ids.end(), to);
             const auto target = static_cast<std::size_t>(entry - ids.begin());
             for (Millis delay : network(i, target))
-                flying.push_back({target, frame, now + delay});
+                inFlight.push_back({target, frame, now + delay});
         };
         hooks.use = [&self](CustomerIndex) { return self.use; };
         hooks.setShare = [&self](CustomerIndex, const LocalShare &share) { self.share = share; };
         hooks.takeCredit = [&self](CustomerIndex, const LocalShare &wanted) {
-            LocalShare taken;
-            taken.requestsPerSecond =
+            LocalShare removed;
+            removed.requestsPerSecond =
                 std::min(self.credit.requestsPerSecond, wanted.requestsPerSecond);
-            self.credit.requestsPerSecond -= taken.requestsPerSecond;
-            return taken;
+            self.credit.requestsPerSecond -= removed.requestsPerSecond;
+            return removed;
         };
         hooks.addCredit = [&self](CustomerIndex, const LocalShare &credit) {
             self.credit.requestsPerSecond += credit.requestsPerSecond;
@@ -86,11 +86,11 @@
     {
         const Millis end = now + time;
         for (; now < end; now += Millis(10)) {
-            const std::vector<Flying> before = std::move(flying);
-            flying.clear();
-            for (const Flying &message : before) {
+            const std::vector<InFlightMessage> before = std::move(inFlight);
+            inFlight.clear();
+            for (const InFlightMessage &message : before) {
                 if (message.arrives > now)
-                    flying.push_back(message);
+                    inFlight.push_back(message);
                 else
                     instances[message.to]->ledger->receive(message.frame, now);
             }
@@ -112,7 +112,7 @@
 
     std::vector<std::unique_ptr<Instance>> instances;
     std::vector<InstanceId> ids;
-    std::vector<Flying> flying;
+    std::vector<InFlightMessage> inFlight;
     Network network = [](std::size_t, std::size_t) { return std::vector<Millis>{Millis(2)}; };
     Millis now = start;
 };
@@ -122,8 +122,10 @@
 
 } // namespace
 
-TEST_CASE("the parts of a limit add up to the whole, whatever the number of instances")
+TEST_CASE("the parts of a limit add up to the limit for any number of instances")
 {
+    // Rounding, or instances that disagree on the holders of a small limit, would waste a part of
+    // the limit or exceed it.
     for (std::size_t count : {1U, 2U, 3U, 6U, 24U}) {
         for (std::uint32_t limit : {1U, 2U, 7U, 10U, 100U}) {
             CAPTURE(count);
@@ -136,10 +138,10 @@
     }
 }
 
-TEST_CASE("budget moves to where the demand is")
+TEST_CASE("budget moves to the instance with the demand")
 {
-    // The balancer sends all of a customer's connections to one instance. With fixed parts it
-    // would be refused at a sixth of what it pays for.
+    // The load balancer sends all connections of a customer to one of six instances. With fixed
+    // parts, requests would be refused above a sixth of the customer's limit.
     Group group(6, {600, 60, 0});
     group.instances[2]->use = {50, 0, 500, 0, true};
     group.run(Millis::seconds(3));
@@ -148,24 +150,24 @@
     CHECK(group.sum(concurrency) <= 60);
     CHECK(group.sum(rate) <= 600.001);
 
-    SUBCASE("and back when the demand is over")
+    SUBCASE("and moves back when the demand ends")
     {
         group.instances[2]->use = {};
         group.run(Millis::seconds(7));
         for (const auto &instance : group.instances)
             CHECK(instance->share.concurrentRequests == doctest::Approx(10));
     }
-    SUBCASE("and stays while the work goes on")
+    SUBCASE("and stays while the demand lasts")
     {
         group.run(Millis::seconds(20),
                   [&] { CHECK(group.instances[2]->share.concurrentRequests >= 50); });
     }
 }
 
-TEST_CASE("lost, repeated and late messages never raise the sum above the limit")
+TEST_CASE("lost, duplicate and late messages never raise the sum above the limit")
 {
-    // A grant is lost, comes twice, or comes after the lender has taken the loan back. Were it
-    // counted on arrival, customers would run more than they may, at the cost of others.
+    // A grant is lost, arrives twice, or arrives after the lender's loan has expired. Counted on
+    // arrival, it would let a customer exceed its limit at the expense of others.
     struct Row
     {
         const char *what;
@@ -195,22 +197,22 @@
                 const bool busy = (*random)() % 2 == 0;
                 group.instances[i]->use = {busy ? 25U : 1U, 0, busy ? 200.0 : 5.0, 0, busy};
             }
-            double worst = 0;
-            double worstRate = 0;
+            double greatestSum = 0;
+            double greatestRateSum = 0;
             group.run(Millis::seconds(4), [&] {
-                worst = std::max(worst, group.sum(concurrency));
-                worstRate = std::max(worstRate, group.sum(rate));
+                greatestSum = std::max(greatestSum, group.sum(concurrency));
+                greatestRateSum = std::max(greatestRateSum, group.sum(rate));
             });
-            CHECK(worst <= 50);
-            CHECK(worstRate <= 500.001);
+            CHECK(greatestSum <= 50);
+            CHECK(greatestRateSum <= 500.001);
         }
     }
 }
 
-TEST_CASE("a grant that was long on its way ends no later than the lender's part of it")
+TEST_CASE("a delayed grant expires no later than the lender's record of the loan")
 {
-    // The network holds a grant back for four seconds. Counted from its arrival, the loan would
-    // go on for three seconds after the lender had taken it back, and both would use it.
+    // The network delays a grant by four seconds. Counted from its arrival, the borrower's loan
+    // would last three seconds longer than the lender's, and both would use the same budget.
     Group group(2, {0, 40, 0});
     group.network = [](std::size_t from, std::size_t) {
         return std::vector<Millis>{from == 0 ? Millis(2) : Millis(4000)};
@@ -218,39 +220,39 @@
     group.instances[0]->use = {20, 15, 0, 0, true};
     group.run(Millis(150));
     group.instances[0]->use = {};
-    double worst = 0;
-    double most = 0;
+    double greatestSum = 0;
+    double greatestShare = 0;
     group.run(Millis::seconds(12), [&] {
-        worst = std::max(worst, group.sum(concurrency));
-        most = std::max(most, group.instances[0]->share.concurrentRequests);
+        greatestSum = std::max(greatestSum, group.sum(concurrency));
+        greatestShare = std::max(greatestShare, group.instances[0]->share.concurrentRequests);
     });
-    CHECK(most > 30);
-    CHECK(worst <= 40);
+    CHECK(greatestShare > 30);
+    CHECK(greatestSum <= 40);
 }
 
-TEST_CASE("a small rate is handed over request by request")
+TEST_CASE("a small rate is transferred one request at a time")
 {
-    // Two requests a second cannot be cut into 24 useful parts. They lie at one instance, and the
-    // others get credit from there, so that a caller is served wherever the balancer sends it.
+    // Two requests a second can't be divided into 24 useful parts. One instance holds the limit and
+    // transfers credit to the others, so that a caller is served at whichever instance it reaches.
     Group group(24, {2, 0, 0});
-    std::size_t home = 0;
+    std::size_t holder = 0;
     for (std::size_t i = 0; i < 24; ++i) {
         if (group.instances[i]->share.requestsPerSecond > 0)
-            home = i;
+            holder = i;
     }
-    group.instances[home]->credit.requestsPerSecond = 4;
-    const std::size_t other = (home + 1) % 24;
+    group.instances[holder]->credit.requestsPerSecond = 4;
+    const std::size_t other = (holder + 1) % 24;
     group.instances[other]->use = {0, 1, 0.5, 0, true};
     group.run(Millis(150));
     CHECK(group.instances[other]->credit.requestsPerSecond == doctest::Approx(1));
-    CHECK(group.instances[home]->credit.requestsPerSecond == doctest::Approx(3));
+    CHECK(group.instances[holder]->credit.requestsPerSecond == doctest::Approx(3));
     CHECK(group.sum(rate) == doctest::Approx(2));
 }
 
-TEST_CASE("instances that are cut off use at most the limit once per group")
+TEST_CASE("each partition uses at most the whole limit, and only after the hold-down")
 {
-    // The network splits six instances in two groups. Each group keeps serving; the customer may
-    // get up to twice its limit, and not before the hold-down is over.
+    // The network splits six instances in two partitions. Both keep serving; the customer may get
+    // up to twice its limit, but not before the hold-down has passed.
     Group group(6, {0, 60, 0});
     group.network = [](std::size_t from, std::size_t to) {
         return from / 3 == to / 3 ? std::vector<Millis>{Millis(2)} : std::vector<Millis>{};
@@ -262,17 +264,18 @@
         group.instances[i]->ledger->setMembers(half, group.now);
         group.instances[i]->use = {60, 5, 0, 0, true};
     }
-    double worst = 0;
-    const auto watch = [&] { worst = std::max(worst, group.sum(concurrency)); };
+    double greatestSum = 0;
+    const auto watch = [&] { greatestSum = std::max(greatestSum, group.sum(concurrency)); };
     group.run(Millis::seconds(9), watch);
-    CHECK(worst <= 60);
+    CHECK(greatestSum <= 60);
     group.run(Millis::seconds(5), watch);
-    CHECK(worst <= 120);
-    CHECK(worst > 60);
+    CHECK(greatestSum <= 120);
+    CHECK(greatestSum > 60);
 }
 
-TEST_CASE("a restarted instance neither answers nor uses what its earlier life was lent")
+TEST_CASE("a restarted instance does not use loans of its previous incarnation")
 {
+    // A grant for the previous incarnation would be counted without the request that it belongs to.
     Group group(3, {0, 30, 0});
     group.instances[1]->use = {20, 5, 0, 0, true};
     group.run(Millis::seconds(1));
@@ -288,8 +291,9 @@
     group.run(Millis::seconds(2), [&] { CHECK(group.sum(concurrency) <= 30); });
 }
 
-TEST_CASE("malformed frames change nothing")
+TEST_CASE("malformed frames have no effect")
 {
+    // A faulty peer must neither crash the instance nor change a limit.
     Group group(2, {0, 10, 0});
     for (const char *frame : {"", "\xff", "{}", "\xa1\x61\x74\x01"}) {
         CHECK_FALSE(decodeBudgetMessage(frame).has_value());
--- a/modules/admission/budget/BudgetMessages.cpp
+++ b/modules/admission/budget/BudgetMessages.cpp
@@ -23,7 +23,7 @@
 double readAmount(const json &value)
 {
     const double amount = value.get<double>();
-    // An endless amount from a broken peer would switch the customer's limit off.
+    // An infinite amount from a faulty peer would disable the customer's limit.
     return std::isfinite(amount) && amount >= 0 ? amount : 0;
 }
 
@@ -53,13 +53,13 @@
         encoded = {{"t", "borrow"},
                    {"from", message.borrow->borrower.text()},
                    {"inc", message.borrow->incarnation},
-                   {"n", message.borrow->number},
+                   {"n", message.borrow->sequence},
                    {"items", itemsToJson(message.borrow->items)}};
     } else if (message.grant) {
         encoded = {{"t", "grant"},
                    {"from", message.grant->lender.text()},
                    {"inc", message.grant->incarnation},
-                   {"n", message.grant->number},
+                   {"n", message.grant->sequence},
                    {"term", message.grant->term.count()},
                    {"items", itemsToJson(message.grant->items)}};
     }
@@ -83,12 +83,12 @@
             const Millis term(encoded.at("term").get<std::int64_t>());
             message.grant = LoanGrant{from, incarnation, number, term, items};
         } else {
-            fail(lastReason, "budget message", "unknown type " + type);
+            fail(lastReason, "malformed budget message", "unknown message type " + type);
             return std::nullopt;
         }
         return message;
     } catch (const json::exception &error) {
-        fail(lastReason, "budget message", error.what());
+        fail(lastReason, "malformed budget message", error.what());
         return std::nullopt;
     }
 }
--- a/modules/admission/budget/BudgetMessages.h
+++ b/modules/admission/budget/BudgetMessages.h
@@ -13,7 +13,7 @@
 
 namespace cuminrail {
 
-/** Which limit of a customer a budget is part of. */
+/** The limit of a customer that a budget is part of. */
 enum class BudgetKind : std::uint8_t {
     RequestRate,
     Concurrency,
@@ -26,53 +26,53 @@
     {BudgetKind::TokenRate, "tokens"},
 }}};
 
-/** One customer's limit within a message. */
+/** A part of one customer's limit, requested or granted. */
 struct BudgetItem
 {
     CustomerId customer;
     BudgetKind kind = BudgetKind::RequestRate;
     /**
-        Part of the limit that is lent for the term: requests or tokens a second, or requests.
-        In a request: how much more is wanted; 0 to renew what was lent before.
+        Part of the limit that is lent for the term: requests or tokens per second, or concurrent
+        requests. In a request: the additional amount; 0 to renew the existing loan.
     */
     double amount = 0;
-    /** Saved credit that is handed over for good: requests or tokens. */
+    /** Accumulated credit that is transferred permanently: requests or tokens. */
     double credit = 0;
 };
 
-/** An instance that is short of budget asks another one. */
+/** Request for budget from one instance to another. */
 struct BorrowRequest
 {
     InstanceId borrower;
     Incarnation incarnation = 0;
-    /** Rises with each request of this incarnation. */
-    std::uint64_t number = 0;
+    /** Increases with each request of this incarnation. */
+    std::uint64_t sequence = 0;
     std::vector<BudgetItem> items;
 };
 
-/** The answer: what the lender has taken away from itself. */
+/** Reply to a BorrowRequest: what the lender has subtracted from its own share. */
 struct LoanGrant
 {
     InstanceId lender;
-    /** The borrower's incarnation and number that this answers. */
+    /** Incarnation and sequence number of the request. */
     Incarnation incarnation = 0;
-    std::uint64_t number = 0;
-    /** Counts from when the borrower sent its request. */
+    std::uint64_t sequence = 0;
+    /** Duration of the loans, counted from when the borrower sent its request. */
     Millis term;
     std::vector<BudgetItem> items;
 };
 
-/** A message between the ledgers of two instances; exactly one of the two is set. */
+/** A message between the ledgers of two instances; exactly one member is set. */
 struct BudgetMessage
 {
     std::optional<BorrowRequest> borrow;
     std::optional<LoanGrant> grant;
 };
 
-/** Returns the message as CBOR. */
+/** Encodes a message as CBOR. */
 std::string encodeBudgetMessage(const BudgetMessage &message);
 
-/** Returns the message, or nothing with the reason when the frame is malformed. */
+/** Returns the decoded message, or nothing with the reason when the frame is malformed. */
 std::optional<BudgetMessage> decodeBudgetMessage(std::string_view frame,
                                                  Reason *lastReason = nullptr);
 
--- a/modules/admission/detail/AdmissionState.cpp
+++ b/modules/admission/detail/AdmissionState.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-/** Output tokens expected of a customer of whom nothing is known yet. */
-constexpr double firstOutputEstimate = 256;
-constexpr double outputGain = 1.0 / 8;
-constexpr double holdGain = 1.0 / 32;
+/** Output tokens estimated for a flow that has not finished a request yet. */
+constexpr double defaultOutputTokens = 256;
+constexpr double outputSampleWeight = 1.0 / 8;
+constexpr double latencySampleWeight = 1.0 / 32;
 constexpr double rateWindowSeconds = 2;
-/** What a first token takes beside reading. */
+/** Seconds to first token in addition to prefill. */
 constexpr double firstTokenOverhead = 0.02;
-constexpr Millis shortestRetryAfter = Millis::seconds(1);
-constexpr Millis longestRetryAfter = Millis::minutes(1);
+constexpr Millis minRetryAfter = Millis::seconds(1);
+constexpr Millis maxRetryAfter = Millis::minutes(1);
 
 Millis fromSeconds(double seconds)
 {
@@ -26,9 +26,9 @@
 
 void RecentRate::decay(Millis now)
 {
-    const double passed = std::max(0.0, (now - updated_).toSeconds());
+    const double elapsed = std::max(0.0, (now - updated_).toSeconds());
     updated_ = now;
-    level_ *= std::exp(-passed / rateWindowSeconds);
+    level_ *= std::exp(-elapsed / rateWindowSeconds);
 }
 
 void RecentRate::add(double amount, Millis now)
@@ -43,12 +43,12 @@
     return level_ / rateWindowSeconds;
 }
 
-bool Flow::Place::operator<(const Place &other) const
+bool Flow::QueuePosition::operator<(const QueuePosition &other) const
 {
     if (priority != other.priority)
         return priority < other.priority;
-    if (giveUpAt != other.giveUpAt)
-        return giveUpAt < other.giveUpAt;
+    if (expiresAt != other.expiresAt)
+        return expiresAt < other.expiresAt;
     return arrival < other.arrival;
 }
 
@@ -67,7 +67,7 @@
     if (pools_.size() < settings.pools.size())
         pools_.resize(settings.pools.size());
     for (std::size_t i = 0; i < settings.pools.size(); ++i)
-        pools_[i].row = settings.pools[i];
+        pools_[i].settings = settings.pools[i];
     for (const Flow &flow : flows_)
         pools_[flow.pool].fair.setWeight(flow.fairIndex, customers_[flow.customer].weight);
 }
@@ -100,85 +100,88 @@
         flow.batch = batch;
         Pool &state = pool(request.pool);
         flow.fairIndex = state.fair.addFlow(customer(request.customer).weight);
-        state.flowOfFair.push_back(entry->second);
+        state.flowByFairIndex.push_back(entry->second);
         flows_.push_back(std::move(flow));
     }
     return entry->second;
 }
 
-double AdmissionState::tokensOf(const HeldRequest &held) const
+double AdmissionState::tokensOf(const RequestEntry &entry) const
 {
-    return held.request.promptTokens + static_cast<double>(held.expectedOutputTokens);
+    return entry.request.promptTokens + static_cast<double>(entry.expectedOutputTokens);
 }
 
-double AdmissionState::costOf(const HeldRequest &held, double outputTokens) const
+double AdmissionState::costOf(const RequestEntry &entry, double outputTokens) const
 {
-    const double cost = 1 + held.request.promptTokens + options_.outputTokenCost * outputTokens;
-    return held.request.priority == Priority::Batch ? cost * options_.batchCost : cost;
+    const double cost = 1 + entry.request.promptTokens + options_.outputTokenCost * outputTokens;
+    return entry.request.priority == Priority::Batch ? cost * options_.batchCost : cost;
 }
 
-double AdmissionState::readingSeconds(const Pool &pool, double promptTokens) const
+double AdmissionState::prefillSeconds(const Pool &pool, double promptTokens) const
 {
     const double rate = pool.capacity.enginePrefillTokensPerSecond;
     return rate > 0 ? promptTokens / rate : 0;
 }
 
-/** What the first token may take; long prompts get a multiple of their own reading time. */
+/** Target time to first token; at least a multiple of the prefill time, for long prompts. */
 double AdmissionState::targetSeconds(const Pool &pool, const AdmissionRequest &request) const
 {
     const double target =
-        std::max(pool.row.firstTokenTarget.toSeconds(),
-                 options_.readingPatience * readingSeconds(pool, request.promptTokens));
-    return request.priority == Priority::Interactive ? target : target * options_.standardPatience;
-}
-
-/** Time from admission to first token for a prompt of this size, as seen lately. */
-double AdmissionState::expectedFirstToken(const Pool &pool, double promptTokens) const
-{
-    const double reading = readingSeconds(pool, promptTokens) + firstTokenOverhead;
-    if (pool.meanReadingSeconds <= 0)
-        return reading;
-    return reading * pool.meanFirstTokenSeconds / pool.meanReadingSeconds;
-}
-
-void AdmissionState::learnFirstToken(const HeldRequest &held, Pool &pool, Millis now) const
-{
-    const double seconds = (now - held.admittedAt).toSeconds();
-    const double reading = readingSeconds(pool, held.request.promptTokens) + firstTokenOverhead;
-    pool.meanFirstTokenSeconds += holdGain * (seconds - pool.meanFirstTokenSeconds);
-    pool.meanReadingSeconds += holdGain * (reading - pool.meanReadingSeconds);
-    const double allowed = options_.engineShare
-        * std::max(pool.row.firstTokenTarget.toSeconds(),
-                   options_.readingPatience * readingSeconds(pool, held.request.promptTokens));
-    pool.window.firstToken({seconds, allowed}, now);
-}
-
-/** The instant after which the request, if admitted, would miss its target or its deadline. */
-Millis AdmissionState::latestStart(const HeldRequest &held, const Pool &pool, Millis now) const
-{
-    const double reading = readingSeconds(pool, held.request.promptTokens);
-    const double target = targetSeconds(pool, held.request);
-    // Some wait is always granted: else a bad spell would refuse everything, and nothing would be
-    // left to show that it is over.
-    const double wait = std::max(options_.smallestWait * target,
-                                 options_.interactivePatience * target
-                                     - expectedFirstToken(pool, held.request.promptTokens));
-    const Millis latest = held.request.priority == Priority::Batch ? now + options_.batchPatience
-                                                                   : now + fromSeconds(wait);
-    if (held.request.deadline == Millis::never())
+        std::max(pool.settings.firstTokenTarget.toSeconds(),
+                 options_.prefillTargetFactor * prefillSeconds(pool, request.promptTokens));
+    return request.priority == Priority::Interactive ? target
+                                                     : target * options_.standardTargetFactor;
+}
+
+/** Estimated time from admission to first token, scaled by recent measured times. */
+double AdmissionState::estimatedFirstToken(const Pool &pool, double promptTokens) const
+{
+    const double prefillTime = prefillSeconds(pool, promptTokens) + firstTokenOverhead;
+    if (pool.meanPrefillSeconds <= 0)
+        return prefillTime;
+    return prefillTime * pool.meanFirstTokenSeconds / pool.meanPrefillSeconds;
+}
+
+void AdmissionState::recordFirstToken(const RequestEntry &entry, Pool &pool, Millis now) const
+{
+    const double seconds = (now - entry.admittedAt).toSeconds();
+    const double prefillTime =
+        prefillSeconds(pool, entry.request.promptTokens) + firstTokenOverhead;
+    pool.meanFirstTokenSeconds += latencySampleWeight * (seconds - pool.meanFirstTokenSeconds);
+    pool.meanPrefillSeconds += latencySampleWeight * (prefillTime - pool.meanPrefillSeconds);
+    const double allowed = options_.engineTargetFactor
+        * std::max(pool.settings.firstTokenTarget.toSeconds(),
+                   options_.prefillTargetFactor * prefillSeconds(pool, entry.request.promptTokens));
+    pool.window.recordFirstToken({seconds, allowed}, now);
+}
+
+/** Latest admission time at which the request can still meet its target and its deadline. */
+Millis AdmissionState::latestAdmission(const RequestEntry &entry, const Pool &pool,
+                                       Millis now) const
+{
+    const double prefillTime = prefillSeconds(pool, entry.request.promptTokens);
+    const double target = targetSeconds(pool, entry.request);
+    // A minimum wait is always allowed. Otherwise a period of high latency could cause every
+    // request to be refused, and no latency sample would show that it has ended.
+    const double wait = std::max(options_.minWaitFactor * target,
+                                 options_.targetTimeoutFactor * target
+                                     - estimatedFirstToken(pool, entry.request.promptTokens));
+    const Millis latest = entry.request.priority == Priority::Batch ? now + options_.batchTimeout
+                                                                    : now + fromSeconds(wait);
+    if (entry.request.deadline == Millis::never())
         return latest;
-    const double writing =
-        held.expectedOutputTokens * pool.row.tokenTarget.toSeconds() * options_.tokenTimeShare;
-    const Millis forDeadline = held.request.deadline - fromSeconds(reading + writing);
-    // A batch request waits for as long as its deadline allows; others also have a target.
-    return held.request.priority == Priority::Batch ? forDeadline : std::min(latest, forDeadline);
+    const double decodeTime = entry.expectedOutputTokens * pool.settings.tokenTarget.toSeconds()
+        * options_.tokenTimeFactor;
+    const Millis forDeadline = entry.request.deadline - fromSeconds(prefillTime + decodeTime);
+    // A batch request may wait as long as its deadline allows; others also have a target.
+    return entry.request.priority == Priority::Batch ? forDeadline : std::min(latest, forDeadline);
 }
 
 /**
-    Time until a new request of this flow would start, in seconds.
+    Predicted time until a new request of this flow would be admitted, in seconds.
 
-    What lies ahead is the whole queue at most, and no more than its own customer's queue times the
-    share that the customer gets: a customer with a short queue does not wait behind a long one.
+    The work ahead is the smaller of the whole queue and the flow's own queue divided by the flow's
+    share of service: a customer with a short queue does not wait behind another's long one.
 */
 double AdmissionState::predictedWait(const Flow &flow, Pool &pool, Millis now) const
 {
@@ -192,91 +195,93 @@
         const double nominal = pool.capacity.prefillTokensPerSecond;
         seconds = tokens / std::max(nominal / 2, pool.admittedTokens.perSecond(now));
     }
-    if (pool.capacity.slots > 0 && pool.meanHoldSeconds > 0) {
+    if (pool.capacity.slots > 0 && pool.meanRunSeconds > 0) {
         const double waiting = static_cast<double>(flow.waiting.size());
-        const double ahead = std::min(pool.queued, waiting * slowdown);
-        seconds = std::max(seconds, ahead * pool.meanHoldSeconds / pool.capacity.slots);
+        const double requestsAhead = std::min(pool.queued, waiting * slowdown);
+        seconds = std::max(seconds, requestsAhead * pool.meanRunSeconds / pool.capacity.slots);
     }
     return seconds;
 }
 
-bool AdmissionState::fits(const Pool &pool, const HeldRequest &held) const
+bool AdmissionState::hasCapacityFor(const Pool &pool, const RequestEntry &entry) const
 {
-    if (pool.row.isService)
+    if (pool.settings.isService)
         return true;
-    // One request may always run: a share below one must not shut an instance out.
+    // One request may always run: a capacity share below one must not block the instance.
     const double slots = pool.capacity.slots > 0 ? std::max(1.0, pool.capacity.slots) : 0;
     if (slots > 0 && pool.running + 1 > slots)
         return false;
     const double rate = pool.capacity.prefillTokensPerSecond;
-    if (rate <= 0 || pool.readingTokens <= 0)
+    if (rate <= 0 || pool.prefillTokens <= 0)
         return true;
-    const double window = rate * pool.row.firstTokenTarget.toSeconds() * options_.prefillWindow
+    const double window = rate * pool.settings.firstTokenTarget.toSeconds() * options_.prefillWindow
         * pool.window.factor();
-    return pool.readingTokens + held.request.promptTokens <= window;
+    return pool.prefillTokens + entry.request.promptTokens <= window;
 }
 
 AdmissionDecision AdmissionState::submit(const AdmissionRequest &request, Millis now)
 {
-    Customer &owner = customer(request.customer);
+    Customer &customerState = customer(request.customer);
     const std::uint32_t flowIndex = flowFor(request);
     const Slot slot = slab_.add();
-    HeldRequest &held = slab_.at(slot);
-    Pool &target = pool(request.pool);
+    RequestEntry &entry = slab_.at(slot);
+    Pool &poolState = pool(request.pool);
     const Flow &flow = flows_[flowIndex];
 
-    const double estimate = flow.meanOutputTokens > 0 ? flow.meanOutputTokens : firstOutputEstimate;
-    held.request = request;
-    held.flow = flowIndex;
-    held.expectedOutputTokens =
+    const double estimate = flow.meanOutputTokens > 0 ? flow.meanOutputTokens : defaultOutputTokens;
+    entry.request = request;
+    entry.flow = flowIndex;
+    entry.expectedOutputTokens =
         static_cast<std::uint32_t>(std::min<double>(request.maxOutputTokens, estimate));
-    held.cost = costOf(held, held.expectedOutputTokens);
-    held.giveUpAt = latestStart(held, target, now);
-    owner.requests.add(1, now);
-    owner.tokens.add(tokensOf(held), now);
+    entry.cost = costOf(entry, entry.expectedOutputTokens);
+    entry.expiresAt = latestAdmission(entry, poolState, now);
+    customerState.requestRate.add(1, now);
+    customerState.tokenRate.add(tokensOf(entry), now);
 
-    if (held.giveUpAt < now)
-        return refuse(slot, hopelessCode(held), shortestRetryAfter);
+    if (entry.expiresAt < now)
+        return refuse(slot, missedTargetCode(entry), minRetryAfter);
     return enqueue(slot, now);
 }
 
 AdmissionDecision AdmissionState::enqueue(Slot slot, Millis now)
 {
-    HeldRequest &held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
-    Pool &target = pool(flow.pool);
-    Customer &owner = customer(flow.customer);
-    const auto limit = owner.limiter.heldBackBy(now);
-    const double expected = held.expectedOutputTokens;
+    RequestEntry &entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
+    Pool &poolState = pool(flow.pool);
+    Customer &customerState = customer(flow.customer);
+    const auto limit = customerState.limiter.heldBackBy(now);
+    const double expected = entry.expectedOutputTokens;
 
-    if (!limit && flow.waiting.empty() && target.fair.activeCount() == 0 && fits(target, held)) {
+    if (!limit && flow.waiting.empty() && poolState.fair.activeCount() == 0
+        && hasCapacityFor(poolState, entry)) {
         admit(slot, now);
-        return {AdmissionKind::Admitted, slab_.ticketOf(slot), held.expectedOutputTokens, {}, {}};
+        return {AdmissionKind::Admitted, slab_.ticketOf(slot), entry.expectedOutputTokens, {}, {}};
     }
     if (limit) {
-        owner.shortOfBudget = true;
-        const Millis wait = owner.limiter.wait(owner.queued, flow.queuedTokens, now);
-        const double mayWait = std::max(4.0, owner.limiter.share().concurrentRequests);
-        if (wait > options_.limitWait || owner.queued >= mayWait)
-            return refuse(slot, *limit, std::max(wait, shortestRetryAfter));
-    } else if (now + fromSeconds(predictedWait(flow, target, now)) > held.giveUpAt) {
-        return refuse(slot, hopelessCode(held), retryAfterOverload(target));
+        customerState.shortOfBudget = true;
+        const Millis wait =
+            customerState.limiter.wait(customerState.queued, flow.queuedTokens, now);
+        const double maxDeferred = std::max(4.0, customerState.limiter.share().concurrentRequests);
+        if (wait > options_.limitTimeout || customerState.queued >= maxDeferred)
+            return refuse(slot, *limit, std::max(wait, minRetryAfter));
+    } else if (now + fromSeconds(predictedWait(flow, poolState, now)) > entry.expiresAt) {
+        return refuse(slot, missedTargetCode(entry), retryAfterOverload(poolState));
     }
     if (queued_ >= options_.maxQueued)
-        return refuse(slot, RefusalCode::Overloaded, retryAfterOverload(target));
-
-    held.arrival = ++arrivals_;
-    flow.waiting.insert({held.request.priority, held.giveUpAt, held.arrival, slot});
-    flow.queuedTokens += held.request.promptTokens;
-    target.queuedTokens += held.request.promptTokens;
-    target.queued += 1;
-    ++owner.queued;
+        return refuse(slot, RefusalCode::Overloaded, retryAfterOverload(poolState));
+
+    entry.arrival = ++arrivals_;
+    flow.waiting.insert({entry.request.priority, entry.expiresAt, entry.arrival, slot});
+    flow.queuedTokens += entry.request.promptTokens;
+    poolState.queuedTokens += entry.request.promptTokens;
+    poolState.queued += 1;
+    ++customerState.queued;
     ++queued_;
-    expiries_.emplace(held.giveUpAt.count(), slot);
+    expiries_.emplace(entry.expiresAt.count(), slot);
     if (limit)
-        holdBack(held.flow, *limit, now);
-    else if (!flow.limited)
-        target.fair.activate(flow.fairIndex);
+        deferFlow(entry.flow, *limit, now);
+    else if (!flow.deferredByLimit)
+        poolState.fair.activate(flow.fairIndex);
     return {
         AdmissionKind::Queued, slab_.ticketOf(slot), static_cast<std::uint32_t>(expected), {}, {}};
 }
@@ -284,141 +289,142 @@
 AdmissionDecision AdmissionState::refuse(Slot slot, RefusalCode code, Millis retryAfter)
 {
     slab_.remove(slot);
-    return {AdmissionKind::Refused, 0, 0, code, std::min(retryAfter, longestRetryAfter)};
+    return {AdmissionKind::Refused, 0, 0, code, std::min(retryAfter, maxRetryAfter)};
 }
 
-RefusalCode AdmissionState::hopelessCode(const HeldRequest &held) const
+RefusalCode AdmissionState::missedTargetCode(const RequestEntry &entry) const
 {
-    return held.request.deadline == Millis::never() ? RefusalCode::Overloaded
-                                                    : RefusalCode::DeadlineUnreachable;
+    return entry.request.deadline == Millis::never() ? RefusalCode::Overloaded
+                                                     : RefusalCode::DeadlineUnreachable;
 }
 
-/** Roughly when today's queue is served: earlier, the caller would only be refused again. */
+/** Estimated time to drain the current queue; an earlier retry would only be refused again. */
 Millis AdmissionState::retryAfterOverload(const Pool &pool) const
 {
     double seconds = 0;
     if (pool.capacity.prefillTokensPerSecond > 0)
-        seconds = (pool.queuedTokens + pool.readingTokens) / pool.capacity.prefillTokensPerSecond;
+        seconds = (pool.queuedTokens + pool.prefillTokens) / pool.capacity.prefillTokensPerSecond;
     if (pool.capacity.slots > 0)
-        seconds = std::max(seconds, (pool.queued + 1) * pool.meanHoldSeconds / pool.capacity.slots);
-    return std::clamp(fromSeconds(seconds), shortestRetryAfter, longestRetryAfter);
+        seconds = std::max(seconds, (pool.queued + 1) * pool.meanRunSeconds / pool.capacity.slots);
+    return std::clamp(fromSeconds(seconds), minRetryAfter, maxRetryAfter);
 }
 
 void AdmissionState::admit(Slot slot, Millis now)
 {
-    HeldRequest &held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
-    Pool &target = pool(flow.pool);
-    held.phase = RequestPhase::Reading;
-    held.admittedAt = now;
-    target.running += 1;
-    target.readingTokens += held.request.promptTokens;
-    target.admittedTokens.add(held.request.promptTokens, now);
-    target.fair.charge(flow.fairIndex, held.cost);
-    customer(flow.customer).limiter.started(tokensOf(held));
+    RequestEntry &entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
+    Pool &poolState = pool(flow.pool);
+    entry.phase = RequestPhase::Prefill;
+    entry.admittedAt = now;
+    poolState.running += 1;
+    poolState.prefillTokens += entry.request.promptTokens;
+    poolState.admittedTokens.add(entry.request.promptTokens, now);
+    poolState.fair.charge(flow.fairIndex, entry.cost);
+    customer(flow.customer).limiter.started(tokensOf(entry));
     ++running_;
 }
 
-void AdmissionState::leaveQueue(Slot slot)
+void AdmissionState::removeFromQueue(Slot slot)
 {
-    HeldRequest &held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
-    Pool &target = pool(flow.pool);
-    flow.waiting.erase({held.request.priority, held.giveUpAt, held.arrival, slot});
-    flow.queuedTokens -= held.request.promptTokens;
-    target.queuedTokens -= held.request.promptTokens;
-    target.queued -= 1;
+    RequestEntry &entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
+    Pool &poolState = pool(flow.pool);
+    flow.waiting.erase({entry.request.priority, entry.expiresAt, entry.arrival, slot});
+    flow.queuedTokens -= entry.request.promptTokens;
+    poolState.queuedTokens -= entry.request.promptTokens;
+    poolState.queued -= 1;
     --customer(flow.customer).queued;
     --queued_;
-    expiries_.erase({held.giveUpAt.count(), slot});
+    expiries_.erase({entry.expiresAt.count(), slot});
     if (flow.waiting.empty())
-        target.fair.deactivate(flow.fairIndex);
+        poolState.fair.deactivate(flow.fairIndex);
 }
 
 /**
-    Takes a flow out of the fair queue until its customer's limits have room again.
+    Removes a flow from the fair queue until its customer's limits allow another request.
 
-    Its first request waits a bounded time, in which a budget lent by another instance may arrive.
+    Its first request waits for a bounded time, in which another instance may lend budget.
 */
-void AdmissionState::holdBack(std::uint32_t flowIndex, RefusalCode code, Millis now)
+void AdmissionState::deferFlow(std::uint32_t flowIndex, RefusalCode code, Millis now)
 {
     Flow &flow = flows_[flowIndex];
-    Customer &owner = customer(flow.customer);
+    Customer &customerState = customer(flow.customer);
     pool(flow.pool).fair.deactivate(flow.fairIndex);
-    owner.shortOfBudget = true;
-    if (!flow.limited) {
-        flow.limited = true;
-        if (owner.limitedFlows.empty())
-            limitedCustomers_.push_back(flow.customer);
-        owner.limitedFlows.push_back(flowIndex);
+    customerState.shortOfBudget = true;
+    if (!flow.deferredByLimit) {
+        flow.deferredByLimit = true;
+        if (customerState.deferredFlows.empty())
+            deferredCustomers_.push_back(flow.customer);
+        customerState.deferredFlows.push_back(flowIndex);
     }
     const Slot slot = flow.waiting.begin()->slot;
-    HeldRequest &held = slab_.at(slot);
-    if (held.limited || now + options_.limitWait >= held.giveUpAt)
+    RequestEntry &entry = slab_.at(slot);
+    if (entry.deferredByLimit || now + options_.limitTimeout >= entry.expiresAt)
         return;
-    held.limited = true;
-    held.limitCode = code;
-    expiries_.erase({held.giveUpAt.count(), slot});
+    entry.deferredByLimit = true;
+    entry.limitCode = code;
+    expiries_.erase({entry.expiresAt.count(), slot});
     flow.waiting.erase(flow.waiting.begin());
-    held.giveUpAt = now + options_.limitWait;
-    expiries_.emplace(held.giveUpAt.count(), slot);
-    flow.waiting.insert({held.request.priority, held.giveUpAt, held.arrival, slot});
+    entry.expiresAt = now + options_.limitTimeout;
+    expiries_.emplace(entry.expiresAt.count(), slot);
+    flow.waiting.insert({entry.request.priority, entry.expiresAt, entry.arrival, slot});
 }
 
-void AdmissionState::retryLimited(CustomerIndex index, AdmissionChanges &changes, Millis now)
+void AdmissionState::retryDeferred(CustomerIndex index, AdmissionChanges &changes, Millis now)
 {
-    Customer &owner = customer(index);
-    if (owner.limitedFlows.empty() || owner.limiter.heldBackBy(now))
+    Customer &customerState = customer(index);
+    if (customerState.deferredFlows.empty() || customerState.limiter.heldBackBy(now))
         return;
     std::vector<std::uint32_t> flows;
-    flows.swap(owner.limitedFlows);
-    limitedCustomers_.erase(std::remove(limitedCustomers_.begin(), limitedCustomers_.end(), index),
-                            limitedCustomers_.end());
+    flows.swap(customerState.deferredFlows);
+    deferredCustomers_.erase(
+        std::remove(deferredCustomers_.begin(), deferredCustomers_.end(), index),
+        deferredCustomers_.end());
     for (std::uint32_t flowIndex : flows) {
         Flow &flow = flows_[flowIndex];
-        flow.limited = false;
+        flow.deferredByLimit = false;
         if (!flow.waiting.empty())
             pool(flow.pool).fair.activate(flow.fairIndex);
     }
     for (std::uint32_t flowIndex : flows)
-        pump(flows_[flowIndex].pool, changes, now);
+        admitQueued(flows_[flowIndex].pool, changes, now);
 }
 
-void AdmissionState::pump(PoolIndex poolIndex, AdmissionChanges &changes, Millis now)
+void AdmissionState::admitQueued(PoolIndex poolIndex, AdmissionChanges &changes, Millis now)
 {
     while (const auto next = pool(poolIndex).fair.next()) {
-        Pool &target = pool(poolIndex);
-        const std::uint32_t flowIndex = target.flowOfFair[*next];
+        Pool &poolState = pool(poolIndex);
+        const std::uint32_t flowIndex = poolState.flowByFairIndex[*next];
         const Slot slot = flows_[flowIndex].waiting.begin()->slot;
-        if (slab_.at(slot).giveUpAt < now) {
-            giveUp(slot, changes, now);
+        if (slab_.at(slot).expiresAt < now) {
+            rejectExpired(slot, changes, now);
             continue;
         }
-        if (!fits(target, slab_.at(slot))) {
-            target.window.heldBack();
+        if (!hasCapacityFor(poolState, slab_.at(slot))) {
+            poolState.window.recordFullWindow();
             return;
         }
         if (const auto limit = customer(flows_[flowIndex].customer).limiter.heldBackBy(now)) {
-            holdBack(flowIndex, *limit, now);
+            deferFlow(flowIndex, *limit, now);
             continue;
         }
         admit(slot, now);
-        leaveQueue(slot);
+        removeFromQueue(slot);
         changes.admitted.push_back(slab_.ticketOf(slot));
     }
 }
 
-void AdmissionState::giveUp(Slot slot, AdmissionChanges &changes, Millis now)
+void AdmissionState::rejectExpired(Slot slot, AdmissionChanges &changes, Millis now)
 {
-    const HeldRequest &held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
+    const RequestEntry &entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
     RefusedTicket refused;
     refused.ticket = slab_.ticketOf(slot);
-    refused.code = held.limited ? held.limitCode : hopelessCode(held);
-    const Millis limitWait = customer(flow.customer).limiter.wait(0, 0, now);
-    refused.retryAfter = held.limited ? std::max(limitWait, shortestRetryAfter)
-                                      : retryAfterOverload(pool(flow.pool));
-    leaveQueue(slot);
+    refused.code = entry.deferredByLimit ? entry.limitCode : missedTargetCode(entry);
+    const Millis limitDelay = customer(flow.customer).limiter.wait(0, 0, now);
+    refused.retryAfter = entry.deferredByLimit ? std::max(limitDelay, minRetryAfter)
+                                               : retryAfterOverload(pool(flow.pool));
+    removeFromQueue(slot);
     slab_.remove(slot);
     changes.refused.push_back(refused);
 }
@@ -426,45 +432,46 @@
 void AdmissionState::expire(AdmissionChanges &changes, Millis now)
 {
     while (!expiries_.empty() && expiries_.begin()->first < now.count())
-        giveUp(expiries_.begin()->second, changes, now);
+        rejectExpired(expiries_.begin()->second, changes, now);
 }
 
-void AdmissionState::releaseReading(HeldRequest &held)
+void AdmissionState::releasePrefill(RequestEntry &entry)
 {
-    if (held.phase != RequestPhase::Reading)
+    if (entry.phase != RequestPhase::Prefill)
         return;
-    held.phase = RequestPhase::Writing;
-    pool(held.request.pool).readingTokens -= held.request.promptTokens;
+    entry.phase = RequestPhase::Decode;
+    pool(entry.request.pool).prefillTokens -= entry.request.promptTokens;
 }
 
 AdmissionChanges AdmissionState::firstToken(AdmissionTicket ticket, Millis now)
 {
     AdmissionChanges changes;
     const Slot slot = slab_.find(ticket);
-    if (slot == RequestSlab::none || slab_.at(slot).phase != RequestPhase::Reading)
+    if (slot == RequestSlab::none || slab_.at(slot).phase != RequestPhase::Prefill)
         return changes;
-    HeldRequest &held = slab_.at(slot);
-    held.firstTokenAt = now;
-    learnFirstToken(held, pool(held.request.pool), now);
-    releaseReading(held);
-    pump(slab_.at(slot).request.pool, changes, now);
+    RequestEntry &entry = slab_.at(slot);
+    entry.firstTokenAt = now;
+    recordFirstToken(entry, pool(entry.request.pool), now);
+    releasePrefill(entry);
+    admitQueued(slab_.at(slot).request.pool, changes, now);
     return changes;
 }
 
-void AdmissionState::end(Slot slot, double outputTokens, Millis now)
+void AdmissionState::endRunning(Slot slot, double outputTokens, Millis now)
 {
-    HeldRequest &held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
-    Pool &target = pool(flow.pool);
-    releaseReading(held);
-    target.running -= 1;
+    RequestEntry &entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
+    Pool &poolState = pool(flow.pool);
+    releasePrefill(entry);
+    poolState.running -= 1;
     --running_;
-    const double more = outputTokens - held.expectedOutputTokens;
-    target.fair.correct(flow.fairIndex, costOf(held, outputTokens) - held.cost);
-    customer(flow.customer).limiter.finished(more);
-    const double hold = (now - held.admittedAt).toSeconds();
-    target.meanHoldSeconds +=
-        target.meanHoldSeconds > 0 ? holdGain * (hold - target.meanHoldSeconds) : hold;
+    const double extraTokens = outputTokens - entry.expectedOutputTokens;
+    poolState.fair.adjust(flow.fairIndex, costOf(entry, outputTokens) - entry.cost);
+    customer(flow.customer).limiter.finished(extraTokens);
+    const double runSeconds = (now - entry.admittedAt).toSeconds();
+    poolState.meanRunSeconds += poolState.meanRunSeconds > 0
+        ? latencySampleWeight * (runSeconds - poolState.meanRunSeconds)
+        : runSeconds;
 }
 
 AdmissionChanges AdmissionState::finished(AdmissionTicket ticket, std::uint32_t outputTokens,
@@ -474,20 +481,21 @@
     const Slot slot = slab_.find(ticket);
     if (slot == RequestSlab::none || slab_.at(slot).phase == RequestPhase::Queued)
         return changes;
-    end(slot, outputTokens, now);
-    const HeldRequest held = slab_.at(slot);
-    Flow &flow = flows_[held.flow];
+    endRunning(slot, outputTokens, now);
+    const RequestEntry entry = slab_.at(slot);
+    Flow &flow = flows_[entry.flow];
     flow.meanOutputTokens += flow.meanOutputTokens > 0
-        ? outputGain * (outputTokens - flow.meanOutputTokens)
+        ? outputSampleWeight * (outputTokens - flow.meanOutputTokens)
         : outputTokens;
-    if (held.phase == RequestPhase::Writing && outputTokens > 1) {
-        Pool &target = pool(held.request.pool);
-        const double each = (now - held.firstTokenAt).toSeconds() / (outputTokens - 1);
-        target.window.answer({each, target.row.tokenTarget.toSeconds()}, now);
+    if (entry.phase == RequestPhase::Decode && outputTokens > 1) {
+        Pool &poolState = pool(entry.request.pool);
+        const double secondsPerToken = (now - entry.firstTokenAt).toSeconds() / (outputTokens - 1);
+        poolState.window.recordTokenTime(
+            {secondsPerToken, poolState.settings.tokenTarget.toSeconds()}, now);
     }
     slab_.remove(slot);
-    retryLimited(held.request.customer, changes, now);
-    pump(held.request.pool, changes, now);
+    retryDeferred(entry.request.customer, changes, now);
+    admitQueued(entry.request.pool, changes, now);
     return changes;
 }
 
@@ -499,12 +507,12 @@
         return changes;
     const AdmissionRequest request = slab_.at(slot).request;
     if (slab_.at(slot).phase == RequestPhase::Queued)
-        leaveQueue(slot);
+        removeFromQueue(slot);
     else
-        end(slot, 0, now);
+        endRunning(slot, 0, now);
     slab_.remove(slot);
-    retryLimited(request.customer, changes, now);
-    pump(request.pool, changes, now);
+    retryDeferred(request.customer, changes, now);
+    admitQueued(request.pool, changes, now);
     return changes;
 }
 
@@ -512,11 +520,11 @@
 {
     AdmissionChanges changes;
     expire(changes, now);
-    const std::vector<CustomerIndex> limited = limitedCustomers_;
-    for (CustomerIndex index : limited)
-        retryLimited(index, changes, now);
+    const std::vector<CustomerIndex> deferred = deferredCustomers_;
+    for (CustomerIndex index : deferred)
+        retryDeferred(index, changes, now);
     for (PoolIndex index = 0; index < pools_.size(); ++index)
-        pump(index, changes, now);
+        admitQueued(index, changes, now);
     return changes;
 }
 
--- a/modules/admission/detail/AdmissionState.h
+++ b/modules/admission/detail/AdmissionState.h
@@ -14,7 +14,7 @@
 
 namespace cuminrail::detail {
 
-/** A mean over the last seconds, of amounts that arrive one by one. */
+/** Exponentially decaying rate of amounts added one by one. */
 class RecentRate
 {
 public:
@@ -28,66 +28,66 @@
     Millis updated_;
 };
 
-/** The waiting requests of one customer at one pool; batch work apart. */
+/** The queued requests of one customer at one pool; batch work has a flow of its own. */
 struct Flow
 {
     CustomerIndex customer = noIndex;
     PoolIndex pool = noIndex;
     bool batch = false;
-    /** Best first: priority, then the time by which it must be admitted, then arrival. */
-    struct Place
+    /** Order of admission: by priority, then expiry, then arrival. */
+    struct QueuePosition
     {
         Priority priority;
-        Millis giveUpAt;
+        Millis expiresAt;
         std::uint64_t arrival;
         RequestSlab::Slot slot;
-        bool operator<(const Place &other) const;
+        bool operator<(const QueuePosition &other) const;
     };
-    std::set<Place> waiting;
+    std::set<QueuePosition> waiting;
     std::uint32_t fairIndex = 0;
     double queuedTokens = 0;
-    /** True while the customer's limits keep the flow out of the fair queue. */
-    bool limited = false;
-    /** Mean of output tokens, for estimates; 0 until one is known. */
+    /** True while the customer's limits exclude the flow from the fair queue. */
+    bool deferredByLimit = false;
+    /** Moving average of output tokens per request, for estimates; 0 until the first value. */
     double meanOutputTokens = 0;
 };
 
-/** What is in progress and waits at one pool. */
+/** State of one pool: work in progress, queue, latency averages. */
 struct Pool
 {
-    AdmittedPool row;
+    AdmissionPool settings;
     AdmissionCapacity capacity;
     FairQueue fair;
-    std::vector<std::uint32_t> flowOfFair;
+    std::vector<std::uint32_t> flowByFairIndex;
     double running = 0;
-    double readingTokens = 0;
+    double prefillTokens = 0;
     double queuedTokens = 0;
     double queued = 0;
-    /** Mean time that a request holds its slot, for predictions; 0 until known. */
-    double meanHoldSeconds = 0;
+    /** Moving average of the time a request occupies its slot; 0 until the first value. */
+    double meanRunSeconds = 0;
     WindowController window;
-    /** Prompt tokens admitted lately: the speed at which the queue really moves. */
+    /** Rate of admitted prompt tokens, at which the queue actually drains. */
     RecentRate admittedTokens;
-    /** Means of the time from admission to first token, and of what reading alone would take. */
+    /** Moving averages of the time from admission to first token, and of nominal prefill time. */
     double meanFirstTokenSeconds = 0;
-    double meanReadingSeconds = 0;
+    double meanPrefillSeconds = 0;
 };
 
-/** One customer at this instance. */
+/** State of one customer at this instance. */
 struct Customer
 {
     CustomerLimiter limiter;
     double weight = 1;
     bool present = false;
     std::uint32_t queued = 0;
-    RecentRate requests;
-    RecentRate tokens;
+    RecentRate requestRate;
+    RecentRate tokenRate;
     bool shortOfBudget = false;
-    /** Flows that wait for the customer's limits. */
-    std::vector<std::uint32_t> limitedFlows;
+    /** Flows deferred by the customer's limits. */
+    std::vector<std::uint32_t> deferredFlows;
 };
 
-/** The state machine behind AdmissionController. */
+/** Implementation of AdmissionController. */
 class AdmissionState
 {
 public:
@@ -102,8 +102,8 @@
 
     Customer &customer(CustomerIndex index);
     Pool &pool(PoolIndex index);
-    /** Tries again what the customer's limits held back. */
-    void retryLimited(CustomerIndex index, AdmissionChanges &changes, Millis now);
+    /** Admits deferred requests of the customer as far as its limits allow. */
+    void retryDeferred(CustomerIndex index, AdmissionChanges &changes, Millis now);
     std::size_t queuedCount() const { return queued_; }
     std::size_t runningCount() const { return running_; }
     std::size_t memoryBytes() const;
@@ -112,27 +112,27 @@
     using Slot = RequestSlab::Slot;
 
     std::uint32_t flowFor(const AdmissionRequest &request);
-    double tokensOf(const HeldRequest &held) const;
-    double costOf(const HeldRequest &held, double outputTokens) const;
-    double readingSeconds(const Pool &pool, double promptTokens) const;
+    double tokensOf(const RequestEntry &entry) const;
+    double costOf(const RequestEntry &entry, double outputTokens) const;
+    double prefillSeconds(const Pool &pool, double promptTokens) const;
     double targetSeconds(const Pool &pool, const AdmissionRequest &request) const;
-    double expectedFirstToken(const Pool &pool, double promptTokens) const;
-    void learnFirstToken(const HeldRequest &held, Pool &pool, Millis now) const;
-    Millis latestStart(const HeldRequest &held, const Pool &pool, Millis now) const;
+    double estimatedFirstToken(const Pool &pool, double promptTokens) const;
+    void recordFirstToken(const RequestEntry &entry, Pool &pool, Millis now) const;
+    Millis latestAdmission(const RequestEntry &entry, const Pool &pool, Millis now) const;
     double predictedWait(const Flow &flow, Pool &pool, Millis now) const;
-    bool fits(const Pool &pool, const HeldRequest &held) const;
+    bool hasCapacityFor(const Pool &pool, const RequestEntry &entry) const;
     AdmissionDecision refuse(Slot slot, RefusalCode code, Millis retryAfter);
     AdmissionDecision enqueue(Slot slot, Millis now);
     void admit(Slot slot, Millis now);
-    void leaveQueue(Slot slot);
-    void holdBack(std::uint32_t flowIndex, RefusalCode code, Millis now);
-    void pump(PoolIndex poolIndex, AdmissionChanges &changes, Millis now);
+    void removeFromQueue(Slot slot);
+    void deferFlow(std::uint32_t flowIndex, RefusalCode code, Millis now);
+    void admitQueued(PoolIndex poolIndex, AdmissionChanges &changes, Millis now);
     void expire(AdmissionChanges &changes, Millis now);
-    void giveUp(Slot slot, AdmissionChanges &changes, Millis now);
-    RefusalCode hopelessCode(const HeldRequest &held) const;
+    void rejectExpired(Slot slot, AdmissionChanges &changes, Millis now);
+    RefusalCode missedTargetCode(const RequestEntry &entry) const;
     Millis retryAfterOverload(const Pool &pool) const;
-    void releaseReading(HeldRequest &held);
-    void end(Slot slot, double outputTokens, Millis now);
+    void releasePrefill(RequestEntry &entry);
+    void endRunning(Slot slot, double outputTokens, Millis now);
 
     AdmissionOptions options_;
     RequestSlab slab_;
@@ -140,9 +140,9 @@
     std::vector<Pool> pools_;
     std::vector<Flow> flows_;
     std::unordered_map<std::uint64_t, std::uint32_t> flowIndexes_;
-    /** Every queued request by the time at which it is given up. */
+    /** All queued requests by expiry time. */
     std::set<std::pair<std::int64_t, Slot>> expiries_;
-    std::vector<CustomerIndex> limitedCustomers_;
+    std::vector<CustomerIndex> deferredCustomers_;
     std::size_t queued_ = 0;
     std::size_t running_ = 0;
     std::uint64_t arrivals_ = 0;
--- a/modules/admission/detail/RequestSlab.cpp
+++ b/modules/admission/detail/RequestSlab.cpp
@@ -11,7 +11,7 @@
     const Slot slot = free_.back();
     free_.pop_back();
     const std::uint32_t generation = slots_[slot].generation + 1;
-    slots_[slot] = HeldRequest();
+    slots_[slot] = RequestEntry();
     slots_[slot].generation = generation;
     slots_[slot].phase = RequestPhase::Queued;
     return slot;
--- a/modules/admission/detail/RequestSlab.h
+++ b/modules/admission/detail/RequestSlab.h
@@ -11,36 +11,36 @@
 enum class RequestPhase : std::uint8_t {
     Free,
     Queued,
-    /** Admitted, and its prompt not yet read. */
-    Reading,
-    Writing,
+    /** Admitted, and its first token has not arrived. */
+    Prefill,
+    Decode,
 };
 
-/** One request between submit() and its end. */
-struct HeldRequest
+/** One request from submit() until it ends. */
+struct RequestEntry
 {
     AdmissionRequest request;
-    /** Order of arrival, to tell equal places in a queue apart. */
+    /** Order of arrival; breaks ties in a queue. */
     std::uint64_t arrival = 0;
     std::uint32_t generation = 0;
     std::uint32_t flow = 0;
     std::uint32_t expectedOutputTokens = 0;
     RequestPhase phase = RequestPhase::Free;
-    /** Set while the customer's limit holds it back: the code it is refused with in the end. */
-    bool limited = false;
+    /** Set when a customer limit has deferred it; the code is used if it expires. */
+    bool deferredByLimit = false;
     RefusalCode limitCode = RefusalCode::RateLimited;
     Millis admittedAt;
     Millis firstTokenAt;
-    /** It is hopeless when not admitted by then. */
-    Millis giveUpAt;
+    /** Refused when it has not been admitted by then. */
+    Millis expiresAt;
     double cost = 0;
 };
 
 /**
-    Requests by ticket, without hashing or an allocation each.
+    Slab of requests, addressed by ticket without hashing or an allocation per request.
 
-    A ticket carries the slot's generation, so that one used after its end finds nothing instead
-    of another caller's request.
+    A ticket contains the slot's generation, so a ticket used after the end of its request finds
+    nothing instead of another caller's request.
 */
 class RequestSlab
 {
@@ -52,19 +52,19 @@
     Slot add();
     void remove(Slot slot);
 
-    HeldRequest &at(Slot slot) { return slots_[slot]; }
+    RequestEntry &at(Slot slot) { return slots_[slot]; }
     AdmissionTicket ticketOf(Slot slot) const;
 
-    /** Returns the slot of a ticket, or none when it is over. */
+    /** Returns the slot of a ticket, or none when its request has ended. */
     Slot find(AdmissionTicket ticket) const;
 
     std::size_t memoryBytes() const
     {
-        return slots_.capacity() * sizeof(HeldRequest) + free_.capacity() * sizeof(Slot);
+        return slots_.capacity() * sizeof(RequestEntry) + free_.capacity() * sizeof(Slot);
     }
 
 private:
-    std::vector<HeldRequest> slots_;
+    std::vector<RequestEntry> slots_;
     std::vector<Slot> free_;
 };
 
--- a/modules/admission/limits/AdmissionSettingsBuilder.cpp
+++ b/modules/admission/limits/AdmissionSettingsBuilder.cpp
@@ -31,7 +31,7 @@
         }
     }
     for (const ModelSettings &model : settings.fleet.models) {
-        AdmittedPool &row = rowAt(built.pools, pools.indexOf("model:" + model.id.text()));
+        AdmissionPool &row = rowAt(built.pools, pools.indexOf("model:" + model.id.text()));
         row.firstTokenTarget = model.firstTokenTarget;
         row.tokenTarget = model.tokenTarget;
     }
--- a/modules/admission/limits/AdmissionSettingsBuilder.h
+++ b/modules/admission/limits/AdmissionSettingsBuilder.h
@@ -6,10 +6,10 @@
 namespace cuminrail {
 
 /**
-    Returns what admission reads of the settings.
+    Returns the part of the settings that admission depends on.
 
-    @param customers  numbers of customers by id; the ones that routing uses
-    @param pools      numbers of pools: models by "model:<id>", services by "service:<name>"
+    @param customers  indexes of customers by id, shared with routing
+    @param pools      indexes of pools: models by "model:<id>", services by "service:<name>"
 */
 AdmissionSettings buildAdmissionSettings(const Settings &settings,
                                          IndexRegistry<CustomerId> &customers,
--- a/modules/admission/limits/CustomerLimiter.cpp
+++ b/modules/admission/limits/CustomerLimiter.cpp
@@ -4,15 +4,15 @@
 
 namespace cuminrail {
 
-void CustomerLimiter::configure(const CustomerLimits &whole, Millis burst, Millis now)
+void CustomerLimiter::configure(const CustomerLimits &limits, Millis burst, Millis now)
 {
-    const bool newRate = whole_.requestsPerSecond <= 0 && whole.requestsPerSecond > 0;
-    const bool newTokens = whole_.tokensPerSecond <= 0 && whole.tokensPerSecond > 0;
-    whole_ = whole;
+    const bool newRate = customerLimits_.requestsPerSecond <= 0 && limits.requestsPerSecond > 0;
+    const bool newTokens = customerLimits_.tokensPerSecond <= 0 && limits.tokensPerSecond > 0;
+    customerLimits_ = limits;
     burst_ = burst;
-    if (!shared_) {
-        share_ = {whole.requestsPerSecond, static_cast<double>(whole.concurrentRequests),
-                  whole.tokensPerSecond};
+    if (!hasLocalShare_) {
+        share_ = {limits.requestsPerSecond, static_cast<double>(limits.concurrentRequests),
+                  limits.tokensPerSecond};
     }
     apply(now);
     if (newRate)
@@ -23,7 +23,7 @@
 
 void CustomerLimiter::setShare(const LocalShare &share, Millis now)
 {
-    shared_ = true;
+    hasLocalShare_ = true;
     share_ = share;
     apply(now);
 }
@@ -39,12 +39,12 @@
 
 std::optional<RefusalCode> CustomerLimiter::heldBackBy(Millis now)
 {
-    if (whole_.concurrentRequests > 0 && running_ + 1 > share_.concurrentRequests)
+    if (customerLimits_.concurrentRequests > 0 && running_ + 1 > share_.concurrentRequests)
         return RefusalCode::ConcurrencyLimited;
-    // A whole request must be there: fractions at many instances would add up to a burst.
-    if (whole_.requestsPerSecond > 0 && requests_.level(now) < 1)
+    // Requires credit for a whole request: fractions at many instances would add up to a burst.
+    if (customerLimits_.requestsPerSecond > 0 && requests_.level(now) < 1)
         return RefusalCode::RateLimited;
-    if (whole_.tokensPerSecond > 0 && !tokens_.isReady(now))
+    if (customerLimits_.tokensPerSecond > 0 && !tokens_.isReady(now))
         return RefusalCode::RateLimited;
     return std::nullopt;
 }
@@ -56,32 +56,32 @@
     tokens_.draw(tokens);
 }
 
-void CustomerLimiter::finished(double tokensMore)
+void CustomerLimiter::finished(double extraTokens)
 {
     --running_;
-    tokens_.draw(tokensMore);
+    tokens_.draw(extraTokens);
 }
 
-Millis CustomerLimiter::wait(double ahead, double tokensAhead, Millis now)
+Millis CustomerLimiter::wait(double requestsAhead, double tokensAhead, Millis now)
 {
     Millis longest;
-    if (whole_.requestsPerSecond > 0)
-        longest = std::max(longest, requests_.wait(ahead + 1, now));
-    if (whole_.tokensPerSecond > 0)
+    if (customerLimits_.requestsPerSecond > 0)
+        longest = std::max(longest, requests_.wait(requestsAhead + 1, now));
+    if (customerLimits_.tokensPerSecond > 0)
         longest = std::max(longest, tokens_.wait(tokensAhead, now));
     return longest;
 }
 
 LocalShare CustomerLimiter::takeCredit(const LocalShare &wanted, Millis now)
 {
-    LocalShare taken;
-    taken.requestsPerSecond =
+    LocalShare removed;
+    removed.requestsPerSecond =
         std::clamp(requests_.level(now), 0.0, std::max(0.0, wanted.requestsPerSecond));
-    taken.tokensPerSecond =
+    removed.tokensPerSecond =
         std::clamp(tokens_.level(now), 0.0, std::max(0.0, wanted.tokensPerSecond));
-    requests_.draw(taken.requestsPerSecond);
-    tokens_.draw(taken.tokensPerSecond);
-    return taken;
+    requests_.draw(removed.requestsPerSecond);
+    tokens_.draw(removed.tokensPerSecond);
+    return removed;
 }
 
 void CustomerLimiter::addCredit(const LocalShare &credit, Millis now)
--- a/modules/admission/limits/CustomerLimiter.h
+++ b/modules/admission/limits/CustomerLimiter.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** The part of a customer's limits that one instance may use, or credit that moves with it. */
+/** The part of a customer's limits that one instance may use, or credit moved between instances. */
 struct LocalShare
 {
     double requestsPerSecond = 0;
@@ -16,29 +16,29 @@
     double tokensPerSecond = 0;
 };
 
-/** One customer's limits at one instance: rate, concurrency, tokens. */
+/** Enforces one customer's limits at one instance: request rate, concurrency, token rate. */
 class CustomerLimiter
 {
 public:
-    /** Takes the whole limits; all of them may be used here until setShare(). */
-    void configure(const CustomerLimits &whole, Millis burst, Millis now);
+    /** Sets the customer's limits over all instances, which apply in full until setShare(). */
+    void configure(const CustomerLimits &limits, Millis burst, Millis now);
 
-    /** Sets the part of each limit that may be used here. */
+    /** Sets the part of each limit that this instance may use. */
     void setShare(const LocalShare &share, Millis now);
 
-    /** Returns the limit that holds a request back now, or nothing. */
+    /** Returns the limit that another request would exceed now, or nothing. */
     std::optional<RefusalCode> heldBackBy(Millis now);
 
-    /** A request starts. */
+    /** Counts a request that starts. */
     void started(double tokens);
 
-    /** It is over; @c tokensMore is what it used beyond the estimate, negative for less. */
-    void finished(double tokensMore);
+    /** Counts the end of a request; @c extraTokens is its use minus the estimate. */
+    void finished(double extraTokens);
 
-    /** Returns how long until a request may start, were @c ahead others with these tokens first. */
-    Millis wait(double ahead, double tokensAhead, Millis now);
+    /** Returns the time until a request may start, after others with these requests and tokens. */
+    Millis wait(double requestsAhead, double tokensAhead, Millis now);
 
-    /** Takes up to this much saved credit out, for another instance. Returns what was there. */
+    /** Removes up to this much credit, for another instance. Returns the amount removed. */
     LocalShare takeCredit(const LocalShare &wanted, Millis now);
     void addCredit(const LocalShare &credit, Millis now);
 
@@ -48,13 +48,13 @@
 private:
     void apply(Millis now);
 
-    CustomerLimits whole_;
+    CustomerLimits customerLimits_;
     LocalShare share_;
     Millis burst_;
     TokenBucket requests_;
     TokenBucket tokens_;
     std::uint32_t running_ = 0;
-    bool shared_ = false;
+    bool hasLocalShare_ = false;
 };
 
 } // namespace cuminrail
--- a/modules/admission/queue/FairQueue.cpp
+++ b/modules/admission/queue/FairQueue.cpp
@@ -25,7 +25,7 @@
     activeWeight_ += flow.weight;
 }
 
-/** A flow that was idle for an hour would otherwise be served alone until it has caught up. */
+/** Otherwise a flow that was idle for an hour would be served alone until it caught up. */
 double FairQueue::earliestStart() const
 {
     return guardEnabled(Guard::NoIdleCredit) ? virtualTime_ : 0;
@@ -58,7 +58,7 @@
         move(index, flow.finish);
 }
 
-void FairQueue::correct(FlowIndex index, double difference)
+void FairQueue::adjust(FlowIndex index, double difference)
 {
     Flow &flow = flows_[index];
     flow.finish += difference / flow.weight;
--- a/modules/admission/queue/FairQueue.h
+++ b/modules/admission/queue/FairQueue.h
@@ -10,38 +10,39 @@
 namespace cuminrail {
 
 /**
-    Start-time fair queueing over flows: who is served next, by cost and weight.
+    Start-time fair queueing over flows, by cost and weight.
 
-    Each flow has a start tag in virtual time; the least one is served, and its next start tag lies
-    cost divided by weight later. Virtual time is the tag of what was served last. A flow that was
-    idle starts at virtual time: it saves up no credit, so a customer who was away cannot take the
-    queue when it returns. Capacity is never left idle while a flow is active.
+    Each flow has a start tag in virtual time. The flow with the least tag is served, and its next
+    start tag is cost divided by weight later. Virtual time is the start tag of the flow served
+    last. A flow that becomes active starts at virtual time: it accumulates no credit while idle, so
+    a customer that returns cannot monopolise the queue. Work-conserving: there is always a next
+    flow while one is active.
 
-    Holds flows, not requests; costs are any unit. Logarithmic in the number of active flows.
+    Orders flows, not requests; costs may have any unit. Logarithmic in the number of active flows.
 */
 class FairQueue
 {
 public:
     using FlowIndex = std::uint32_t;
 
-    /** Adds a flow. Returns its number. */
+    /** Adds a flow and returns its index. */
     FlowIndex addFlow(double weight);
     void setWeight(FlowIndex flow, double weight) { flows_[flow].weight = weight; }
 
-    /** The flow has something to serve from now on. */
+    /** Marks the flow as having requests to serve. */
     void activate(FlowIndex flow);
 
-    /** The flow has nothing to serve, or may not be served for now. */
+    /** Marks the flow as empty, or as not to be served for now. */
     void deactivate(FlowIndex flow);
 
     /** Returns the active flow to be served next. */
     std::optional<FlowIndex> next() const;
 
-    /** The flow was served at this cost, whether it was active or not. */
+    /** Charges the flow for a served request, whether it is active or not. */
     void charge(FlowIndex flow, double cost);
 
-    /** Corrects an earlier charge by the difference, positive for more. */
-    void correct(FlowIndex flow, double difference);
+    /** Adjusts an earlier charge by the difference, positive for a higher cost. */
+    void adjust(FlowIndex flow, double difference);
 
     bool isActive(FlowIndex flow) const { return flows_[flow].active; }
     /** Sum of the weights of active flows. */
--- a/modules/admission/queue/WindowController.cpp
+++ b/modules/admission/queue/WindowController.cpp
@@ -6,45 +6,45 @@
 
 namespace {
 
-constexpr Millis interval = Millis(250);
-constexpr std::uint32_t enoughSamples = 8;
-constexpr double lateShare = 0.35;
-constexpr double slowShare = 0.2;
-constexpr double shrink = 0.9;
-constexpr double grow = 1.06;
-constexpr double smallest = 0.3;
-constexpr double largest = 8;
+constexpr Millis evaluationInterval = Millis(250);
+constexpr std::uint32_t minSamples = 8;
+constexpr double maxLateShare = 0.35;
+constexpr double maxSlowShare = 0.2;
+constexpr double decreaseFactor = 0.9;
+constexpr double increaseFactor = 1.06;
+constexpr double minFactor = 0.3;
+constexpr double maxFactor = 8;
 
 } // namespace
 
-void WindowController::firstToken(const LatencySample &sample, Millis now)
+void WindowController::recordFirstToken(const LatencySample &sample, Millis now)
 {
     ++samples_;
     late_ += sample.seconds > sample.allowedSeconds ? 1 : 0;
     evaluate(now);
 }
 
-void WindowController::answer(const LatencySample &sample, Millis now)
+void WindowController::recordTokenTime(const LatencySample &sample, Millis now)
 {
-    ++answers_;
+    ++responses_;
     slow_ += sample.seconds > sample.allowedSeconds ? 1 : 0;
     evaluate(now);
 }
 
 void WindowController::evaluate(Millis now)
 {
-    if (now < evaluatedAt_ + interval || samples_ + answers_ < enoughSamples)
+    if (now < evaluatedAt_ + evaluationInterval || samples_ + responses_ < minSamples)
         return;
     evaluatedAt_ = now;
-    const bool tooLate = late_ > lateShare * samples_;
-    const bool tooSlow = slow_ > slowShare * answers_;
+    const bool tooLate = late_ > maxLateShare * samples_;
+    const bool tooSlow = slow_ > maxSlowShare * responses_;
     if (tooLate || tooSlow)
-        factor_ *= shrink;
-    else if (heldBack_)
-        factor_ *= grow;
-    factor_ = std::clamp(factor_, smallest, largest);
-    samples_ = late_ = answers_ = slow_ = 0;
-    heldBack_ = false;
+        factor_ *= decreaseFactor;
+    else if (windowWasFull_)
+        factor_ *= increaseFactor;
+    factor_ = std::clamp(factor_, minFactor, maxFactor);
+    samples_ = late_ = responses_ = slow_ = 0;
+    windowWasFull_ = false;
 }
 
 } // namespace cuminrail
--- a/modules/admission/queue/WindowController.h
+++ b/modules/admission/queue/WindowController.h
@@ -6,34 +6,34 @@
 
 namespace cuminrail {
 
-/** What one finished phase of a request says about a pool's load. */
+/** Latency of one finished phase of a request. */
 struct LatencySample
 {
-    /** How long it took, and how long it may take. */
+    /** Measured duration and its target. */
     double seconds = 0;
     double allowedSeconds = 0;
 };
 
 /**
-    Adapts how much work may be in progress at a pool to the latencies that are really seen.
+    Adapts the amount of work in progress at a pool to the observed latencies.
 
-    Nominal speeds do not tell how much an engine bears: reading and writing share its time, cached
-    prefixes cost nothing, and a slow engine says nothing of itself. With too much in progress
-    requests are late at the engine, where nobody can refuse them any more; with too little,
-    capacity idles while requests wait. So the window shrinks by a tenth when more than a few in a
-    hundred are late, and grows slowly while requests wait and are not late.
+    Nominal rates don't show how much work an engine can take: prefill and decode share its time,
+    cached prefixes cost nothing, and a slow engine does not report that it is slow. With too much
+    work in progress, requests are late at the engine, where they can no longer be refused; with too
+    little, capacity idles while requests are queued. So the window shrinks by a tenth when too
+    large a share of requests is late, and grows slowly while requests are queued and not late.
 */
 class WindowController
 {
 public:
-    /** A first token came. */
-    void firstToken(const LatencySample &sample, Millis now);
+    /** Records the time to first token of a request. */
+    void recordFirstToken(const LatencySample &sample, Millis now);
 
-    /** An answer is whole: seconds for each token. */
-    void answer(const LatencySample &sample, Millis now);
+    /** Records the mean time per token of a finished response. */
+    void recordTokenTime(const LatencySample &sample, Millis now);
 
-    /** A request had to wait because the window was full. */
-    void heldBack() { heldBack_ = true; }
+    /** Records that a request was queued because the window was full. */
+    void recordFullWindow() { windowWasFull_ = true; }
 
     /** Returns the factor on the nominal window. */
     double factor() const { return factor_; }
@@ -44,9 +44,9 @@
     double factor_ = 1;
     std::uint32_t samples_ = 0;
     std::uint32_t late_ = 0;
-    std::uint32_t answers_ = 0;
+    std::uint32_t responses_ = 0;
     std::uint32_t slow_ = 0;
-    bool heldBack_ = false;
+    bool windowWasFull_ = false;
     Millis evaluatedAt_;
 };
 
