--- a/modules/routing/peers/LoadExchange.h
+++ b/modules/routing/peers/LoadExchange.h
@@ -47,7 +47,7 @@
     Millis intervalPerPeer = Millis(10);
     /** With more peers than this nothing is exchanged, and only the engines' reports count. */
     std::size_t maxPeers = 16;
-    /** When a peer has been silent for this long, the engines' reports count again. */
+    /** When a peer has been unresponsive for this long, the engines' reports count again. */
     Millis peerTimeout = Millis(600);
 };
 
@@ -56,7 +56,7 @@
     engine's load earlier than from its lagging report.
 
     While the last message of every peer is recent, the sum over peers replaces the engine's report.
-    As soon as one peer falls silent, the reports count again, because its load is then unknown, not
+    As soon as one peer is unresponsive, the reports count again: its load is then unknown, not
     zero. Messages carry absolute values, so a lost or duplicate one does no harm; one that arrives
     out of order is dropped.
 
--- a/modules/routing/peers/LoadExchange_test.cpp
+++ b/modules/routing/peers/LoadExchange_test.cpp
@@ -92,7 +92,7 @@
     CHECK(group.live(2, "x").othersRequests == 7);
 }
 
-TEST_CASE("load reports count again when a peer falls silent")
+TEST_CASE("load reports count again when a peer is unresponsive")
 {
     // A partitioned instance still sends requests to the engines. If its load counted as zero, the
     // engines would look idle to the other instances, whose requests would queue there.
