--- a/modules/orders/keeper/OrderKeeper.cpp
+++ b/modules/orders/keeper/OrderKeeper.cpp
@@ -7,7 +7,10 @@
 
 namespace {
 
-/** Records read per tick at a take-over, so that taking up a large domain is no burst. */
+/**
+    Records read per tick after the lease is acquired, so that taking over a large domain causes no
+    burst.
+*/
 constexpr int readsPerTick = 5;
 
 bool isLoad(EngineOrderKind kind)
@@ -26,44 +29,44 @@
     std::set<UpstreamId> wanted;
     for (const OrderedEngine &engine : engines) {
         wanted.insert(engine.id);
-        auto &track = tracks_[engine.id];
-        if (track) {
-            track->setChecksFence(engine.checksFence);
+        auto &controller = controllers_[engine.id];
+        if (controller) {
+            controller->setChecksFence(engine.checksFence);
             continue;
         }
-        track = std::make_unique<EngineOrderTrack>(engine, timing_, hooks_.track);
-        if (inCharge_)
-            track->begin();
+        controller = std::make_unique<EngineOrderTrack>(engine, timing_, hooks_.controller);
+        if (isActive_)
+            controller->start();
     }
-    for (auto &[id, track] : tracks_) {
+    for (auto &[id, controller] : controllers_) {
         if (wanted.count(id) == 0)
-            track->end();
+            controller->stop();
     }
 }
 
 void OrderKeeper::taken()
 {
-    inCharge_ = true;
+    isActive_ = true;
     ++epoch_;
-    ticketAsked_ = false;
-    for (auto &[id, track] : tracks_)
-        track->begin();
+    ticketRequested_ = false;
+    for (auto &[id, controller] : controllers_)
+        controller->start();
 }
 
 void OrderKeeper::lost()
 {
-    inCharge_ = false;
+    isActive_ = false;
     ++epoch_;
-    loads_.clear();
-    for (auto &[id, track] : tracks_)
-        track->end();
+    queuedLoads_.clear();
+    for (auto &[id, controller] : controllers_)
+        controller->stop();
 }
 
 void OrderKeeper::tick()
 {
     int reads = 0;
-    for (auto &[id, track] : tracks_) {
-        if (track->tick(reads < readsPerTick))
+    for (auto &[id, controller] : controllers_) {
+        if (controller->tick(reads < readsPerTick))
             ++reads;
     }
     startNextLoad();
@@ -71,84 +74,87 @@
 
 bool OrderKeeper::request(const WantedOrder &wanted, Reason *lastReason)
 {
-    const auto track = tracks_.find(wanted.engine);
-    if (track == tracks_.end())
-        return fail(lastReason, wanted.engine.text(), "no engine of this duty");
+    const auto controller = controllers_.find(wanted.engine);
+    if (controller == controllers_.end())
+        return fail(lastReason, wanted.engine.text(), "the engine does not belong to this duty");
     if (!isLoad(wanted.kind) || !hooks_.weightTicket)
-        return track->second->request(wanted.kind, wanted.target, lastReason);
-    if (!inCharge_)
-        return fail(lastReason, wanted.engine.text(), "this instance is not in charge");
-    const bool waits = std::any_of(loads_.begin(), loads_.end(), [&](const WantedOrder &other) {
-        return other.engine == wanted.engine && other.target == wanted.target;
-    });
-    if (!waits)
-        loads_.push_back(wanted);
+        return controller->second->request(wanted.kind, wanted.target, lastReason);
+    if (!isActive_)
+        return fail(lastReason, wanted.engine.text(),
+                    "this instance does not hold the lease of the duty");
+    const bool isQueued =
+        std::any_of(queuedLoads_.begin(), queuedLoads_.end(), [&](const WantedOrder &other) {
+            return other.engine == wanted.engine && other.target == wanted.target;
+        });
+    if (!isQueued)
+        queuedLoads_.push_back(wanted);
     return true;
 }
 
 void OrderKeeper::startNextLoad()
 {
-    if (ticketAsked_ || loads_.empty() || hooks_.track.clock.now() < nextTicketAt_)
+    if (ticketRequested_ || queuedLoads_.empty() || hooks_.controller.clock.now() < nextTicketAt_)
         return;
-    // The weight store's rate is short when a mix swings: the loads that matter now go first,
-    // and one whose engine is busy does not hold up the others.
-    std::stable_sort(loads_.begin(), loads_.end(), [](const WantedOrder &a, const WantedOrder &b) {
-        return a.urgency > b.urgency;
-    });
-    const auto ready = std::find_if(loads_.begin(), loads_.end(), [this](const WantedOrder &load) {
-        return isIdle(load.engine);
-    });
-    if (ready == loads_.end())
+    // The rate of the weight store is scarce when the traffic mix shifts: the loads that matter now
+    // go first, and one whose engine is busy does not block the others.
+    std::stable_sort(
+        queuedLoads_.begin(), queuedLoads_.end(),
+        [](const WantedOrder &a, const WantedOrder &b) { return a.urgency > b.urgency; });
+    const auto ready =
+        std::find_if(queuedLoads_.begin(), queuedLoads_.end(),
+                     [this](const WantedOrder &load) { return isIdle(load.engine); });
+    if (ready == queuedLoads_.end())
         return;
-    ticketAsked_ = true;
+    ticketRequested_ = true;
     const WantedOrder wanted = *ready;
     hooks_.weightTicket(wanted, [this, wanted, epoch = epoch_](const std::optional<Millis> &when) {
         if (epoch == epoch_)
-            ticketAnswered(wanted, when);
+            handleTicket(wanted, when);
     });
 }
 
-void OrderKeeper::ticketAnswered(const WantedOrder &wanted, const std::optional<Millis> &retryAfter)
+void OrderKeeper::handleTicket(const WantedOrder &wanted, const std::optional<Millis> &retryAfter)
 {
-    ticketAsked_ = false;
+    ticketRequested_ = false;
     if (retryAfter) {
-        nextTicketAt_ = hooks_.track.clock.now() + *retryAfter;
+        nextTicketAt_ = hooks_.controller.clock.now() + *retryAfter;
         return;
     }
-    loads_.erase(std::remove_if(loads_.begin(), loads_.end(),
-                                [&](const WantedOrder &other) {
-                                    return other.engine == wanted.engine
-                                        && other.target == wanted.target;
-                                }),
-                 loads_.end());
-    tracks_.at(wanted.engine)->request(wanted.kind, wanted.target, nullptr);
+    queuedLoads_.erase(std::remove_if(queuedLoads_.begin(), queuedLoads_.end(),
+                                      [&](const WantedOrder &other) {
+                                          return other.engine == wanted.engine
+                                              && other.target == wanted.target;
+                                      }),
+                       queuedLoads_.end());
+    controllers_.at(wanted.engine)->request(wanted.kind, wanted.target, nullptr);
 }
 
 bool OrderKeeper::isIdle(const UpstreamId &engine) const
 {
-    const auto track = tracks_.find(engine);
-    return track != tracks_.end() && track->second->stage() == EngineOrderTrack::Stage::Idle;
+    const auto controller = controllers_.find(engine);
+    return controller != controllers_.end()
+        && controller->second->stage() == EngineOrderTrack::Stage::Idle;
 }
 
 std::optional<OrderRecord> OrderKeeper::lastSettled(const UpstreamId &engine) const
 {
-    const auto track = tracks_.find(engine);
-    if (track == tracks_.end())
+    const auto controller = controllers_.find(engine);
+    if (controller == controllers_.end())
         return std::nullopt;
-    return track->second->lastSettled();
+    return controller->second->lastSettled();
 }
 
 bool OrderKeeper::isQuiet() const
 {
-    return std::none_of(tracks_.begin(), tracks_.end(),
+    return std::none_of(controllers_.begin(), controllers_.end(),
                         [](const auto &entry) { return entry.second->outstanding().has_value(); });
 }
 
 std::vector<OrderKeeper::View> OrderKeeper::view() const
 {
     std::vector<View> views;
-    for (const auto &[id, track] : tracks_)
-        views.push_back(View{id, track->stage(), track->outstanding()});
+    for (const auto &[id, controller] : controllers_)
+        views.push_back(View{id, controller->stage(), controller->outstanding()});
     return views;
 }
 
--- a/modules/orders/keeper/OrderKeeper.h
+++ b/modules/orders/keeper/OrderKeeper.h
@@ -11,39 +11,43 @@
 
 namespace cuminrail {
 
-/** An order that someone wants given. */
+/** A requested order. */
 struct WantedOrder
 {
     UpstreamId engine;
     EngineOrderKind kind = EngineOrderKind::ChangeRole;
     std::string target;
-    /** Loads with a higher figure get the weight store's rate first. */
+    /** Loads with a higher value get the limited rate of the weight store first. */
     double urgency = 0;
 };
 
 /**
-    Gives the orders of one duty (a failure domain) to its engines.
+    Issues the orders of one duty (a failure domain) to its engines.
 
-    Wire taken() and lost() to the lease of the duty. Loads wait here for their turn at the weight
-    store, the most urgent first; everything else goes to the engine's track at once.
+    Connect taken() and lost() to the lease of the duty. Loads are queued here until the weight
+    store grants a ticket, the most urgent first; all other orders go to the controller of the
+    engine at once.
 
-    @see EngineOrderTrack, docs/ORDERS.md
+    @see EngineOrderController, docs/ORDERS.md
 */
 class OrderKeeper
 {
 public:
-    /** Asked for one load at a time; answers nothing for "go on", or when to ask again. */
+    /**
+        Requests the ticket for one load at a time; the completion gets nothing for "proceed", or
+        the delay before the next request.
+    */
     using WeightTicket = std::function<void(const WantedOrder &,
                                             std::function<void(const std::optional<Millis> &)>)>;
 
     struct Hooks
     {
-        EngineOrderTrack::Hooks track;
-        /** May be null: no weight store to share. */
+        EngineOrderTrack::Hooks controller;
+        /** May be null if no weight store is shared. */
         WeightTicket weightTicket;
     };
 
-    /** One engine for the state dump. */
+    /** The state of one engine for the state dump. */
     struct View
     {
         UpstreamId engine;
@@ -55,36 +59,36 @@
     OrderKeeper(const OrderKeeper &) = delete;
     OrderKeeper &operator=(const OrderKeeper &) = delete;
 
-    /** Sets which engines belong to the duty. */
+    /** Sets the engines that belong to the duty. */
     void setEngines(const std::vector<OrderedEngine> &engines);
-    /** The duty's lease was taken. */
+    /** The lease of the duty was acquired. */
     void taken();
-    /** The duty's lease was lost or is being given back. */
+    /** The lease of the duty was lost or is being released. */
     void lost();
-    /** Does what is due; call about every 100 ms. */
+    /** Performs due work; call about every 100 ms. */
     void tick();
 
-    /** Gives an order or queues a load. Returns false, with a reason, when it cannot. */
+    /** Issues an order or queues a load. Returns false, with a reason, when it cannot. */
     bool request(const WantedOrder &wanted, Reason *lastReason);
-    /** Returns true when the engine could be given an order now. */
+    /** Returns whether the engine could be given an order now. */
     bool isIdle(const UpstreamId &engine) const;
-    /** Returns the engine's last settled order, when none is outstanding. */
+    /** Returns the last settled order of the engine if none is outstanding. */
     std::optional<OrderRecord> lastSettled(const UpstreamId &engine) const;
-    /** Returns true when nothing is recorded as intended and not settled. */
+    /** Returns whether no order is recorded as intended and unsettled. */
     bool isQuiet() const;
     std::vector<View> view() const;
-    const std::vector<WantedOrder> &waitingLoads() const { return loads_; }
+    const std::vector<WantedOrder> &waitingLoads() const { return queuedLoads_; }
 
 private:
     void startNextLoad();
-    void ticketAnswered(const WantedOrder &wanted, const std::optional<Millis> &retryAfter);
+    void handleTicket(const WantedOrder &wanted, const std::optional<Millis> &retryAfter);
 
     OrderTiming timing_;
     Hooks hooks_;
-    std::map<UpstreamId, std::unique_ptr<EngineOrderTrack>> tracks_;
-    std::vector<WantedOrder> loads_;
-    bool inCharge_ = false;
-    bool ticketAsked_ = false;
+    std::map<UpstreamId, std::unique_ptr<EngineOrderTrack>> controllers_;
+    std::vector<WantedOrder> queuedLoads_;
+    bool isActive_ = false;
+    bool ticketRequested_ = false;
     std::uint64_t epoch_ = 0;
     Millis nextTicketAt_;
 };
--- a/modules/orders/record/OrderRecord.h
+++ b/modules/orders/record/OrderRecord.h
@@ -10,13 +10,13 @@
 
 namespace cuminrail {
 
-/** How far a recorded order has come. */
+/** Progress of a recorded order. */
 enum class OrderPhase : std::uint8_t {
-    /** May have been sent, may be sent yet. */
+    /** May have been sent, or may still be sent. */
     Intended,
-    /** The engine has carried it out, or its state shows what it asked for. */
+    /** The engine has executed it, or its state already matches the order. */
     Done,
-    /** It had no effect and can have none any more. */
+    /** It had no effect and can no longer have one. */
     NoEffect,
 };
 
@@ -26,7 +26,9 @@
     {OrderPhase::NoEffect, "no-effect"},
 }}};
 
-/** The value of an object "orders/<engine>": the last order that may have gone to the engine. */
+/**
+    The value of the object "orders/<engine>": the last order that may have been sent to the engine.
+*/
 struct OrderRecord
 {
     EngineOrder order;
@@ -36,16 +38,16 @@
 
     bool isSettled() const { return phase != OrderPhase::Intended; }
 
-    /** Returns the JSON text that the store keeps. */
+    /** Returns the JSON text to store. */
     std::string toText() const;
-    /** Reads what the store keeps; nothing, with a reason, when it is no order. */
+    /** Parses a stored text. Returns nothing, with a reason, if it is not a valid order. */
     static std::optional<OrderRecord> fromText(const UpstreamId &engine, const std::string &text,
                                                Reason *lastReason);
 
     static std::string path(const UpstreamId &engine) { return "orders/" + engine.text(); }
 };
 
-/** Returns true when an engine's state already shows what an order asks for. */
+/** Returns whether the state of an engine already matches an order. */
 bool stateSatisfies(const EngineState &state, const EngineOrder &order);
 
 } // namespace cuminrail
--- a/modules/orders/track/EngineOrderTrack.cpp
+++ b/modules/orders/track/EngineOrderTrack.cpp
@@ -11,7 +11,7 @@
 
 template<typename Reply>
 std::function<void(const Reply &)>
-EngineOrderTrack::current(void (EngineOrderTrack::*method)(const Reply &))
+EngineOrderTrack::guardCompletion(void (EngineOrderTrack::*method)(const Reply &))
 {
     return [this, method, epoch = epoch_](const Reply &reply) {
         if (epoch != epoch_)
@@ -21,18 +21,18 @@
     };
 }
 
-void EngineOrderTrack::begin()
+void EngineOrderTrack::start()
 {
     ++epoch_;
     busy_ = false;
     stage_ = Stage::Reading;
-    takenAt_ = hooks_.clock.now();
-    nextAt_ = takenAt_;
+    acquiredAt_ = hooks_.clock.now();
+    nextAt_ = acquiredAt_;
     unsentOrderId_.clear();
     record_ = OrderRecord{};
 }
 
-void EngineOrderTrack::end()
+void EngineOrderTrack::stop()
 {
     ++epoch_;
     busy_ = false;
@@ -75,14 +75,15 @@
 }
 
 /**
-    A holder's own order can be delayed on the way until the holder has taken it for lost and given
-    the next one. Under one number for both the engine would take the older one last, so the
-    number rises with each order: the lease's fence in the upper bits, a count in the lower ones.
+    The holder's own order can be delayed in transit until the holder considers it lost and sends
+    the next one. With the same fence for both the engine would execute the older one last, so the
+    fence rises with each order: the lease's fence in the upper bits, a sequence number in the lower
+    ones.
 */
 FenceNumber EngineOrderTrack::nextFence(const Authority &authority)
 {
-    // A lease that lapsed can come back under the same fence, when a renewal whose answer was lost
-    // is found to have taken effect. The count goes on then; from zero it would fall.
+    // A lease that expired can come back under the same fence, when a renewal whose reply was lost
+    // is found to have taken effect. The sequence continues then; restarted at zero it would fall.
     if (authority.fence != sequenceFence_)
         sequence_ = 0;
     sequenceFence_ = authority.fence;
@@ -91,7 +92,7 @@
     return authority.fence * ordersPerHolder + sequence_;
 }
 
-void EngineOrderTrack::wait(Millis span)
+void EngineOrderTrack::scheduleNext(Millis span)
 {
     const auto width = static_cast<std::uint64_t>(span.count() / 2 + 1);
     nextAt_ =
@@ -101,10 +102,11 @@
 bool EngineOrderTrack::request(EngineOrderKind kind, const std::string &target, Reason *lastReason)
 {
     if (stage_ != Stage::Idle)
-        return fail(lastReason, engine_.id.text(), "another order is not settled");
+        return fail(lastReason, engine_.id.text(), "another order is not settled yet");
     const auto authority = hooks_.authority();
     if (!authority || !hasAuthority())
-        return fail(lastReason, engine_.id.text(), "this instance is not in charge");
+        return fail(lastReason, engine_.id.text(),
+                    "this instance does not hold the lease of the duty");
     record_.order.engine = engine_.id;
     record_.order.orderId = engine_.id.text() + "-" + std::to_string(authority->fence) + "-"
         + std::to_string(hooks_.random());
@@ -114,8 +116,8 @@
     record_.phase = OrderPhase::Intended;
     inherited_ = false;
     unsentOrderId_ = record_.order.orderId;
-    // A holder that dies between sending and recording would leave an order that its successor
-    // knows nothing of: the successor sends a different one and the engine has both.
+    // A holder that dies between sending and recording would leave an order unknown to its
+    // successor: the successor sends a different one and the engine has both.
     if (!guardEnabled(Guard::RecordBeforeSend)) {
         send();
         return true;
@@ -135,7 +137,7 @@
     put.expected = version_;
     const auto method =
         stage == Stage::Recording ? &EngineOrderTrack::recorded : &EngineOrderTrack::resultRecorded;
-    hooks_.store.put(put, current<StoreReply>(method));
+    hooks_.store.put(put, guardCompletion<StoreReply>(method));
 }
 
 void EngineOrderTrack::recorded(const StoreReply &reply)
@@ -149,16 +151,16 @@
         send();
         return;
     }
-    // Whether the record stands is read, not guessed; nothing has been sent.
+    // The next read shows whether the record was stored; nothing has been sent.
     stage_ = Stage::Reading;
-    wait(timing_.retryEvery);
+    scheduleNext(timing_.retryEvery);
 }
 
 void EngineOrderTrack::read()
 {
     busy_ = true;
     hooks_.store.get(OrderRecord::path(engine_.id),
-                     current<StoreReply>(&EngineOrderTrack::readDone));
+                     guardCompletion<StoreReply>(&EngineOrderTrack::readDone));
 }
 
 void EngineOrderTrack::readDone(const StoreReply &reply)
@@ -169,27 +171,27 @@
         return;
     }
     if (reply.status != StoreStatus::Ok || reply.objects.empty()) {
-        wait(timing_.retryEvery);
+        scheduleNext(timing_.retryEvery);
         return;
     }
     const StoreObject &object = reply.objects.front();
     const auto record = OrderRecord::fromText(engine_.id, object.value, nullptr);
-    // A record that cannot be read may hide an order; nothing goes out until an operator looked.
+    // An unreadable record may hide an order; nothing is sent until an operator has checked it.
     if (!record) {
-        wait(timing_.retryEvery * 10);
+        scheduleNext(timing_.retryEvery * 10);
         return;
     }
     version_ = object.version;
-    takeUp(*record);
+    adoptRecord(*record);
 }
 
-void EngineOrderTrack::takeUp(const OrderRecord &record)
+void EngineOrderTrack::adoptRecord(const OrderRecord &record)
 {
-    // A former holder's order may be under way. A different one now would meet it in the engine,
-    // which then does both or the older one last.
-    const bool isOpen = !record.isSettled() && guardEnabled(Guard::SettleBeforeNext);
+    // An order of a previous holder may still be in transit. A different one sent now would
+    // conflict with it: the engine would execute both, or the older one last.
+    const bool isUnsettled = !record.isSettled() && guardEnabled(Guard::SettleBeforeNext);
     record_ = record;
-    if (!isOpen) {
+    if (!isUnsettled) {
         stage_ = Stage::Idle;
         return;
     }
@@ -204,8 +206,8 @@
                         {{"engine", engine_.id.text()}, {"order", record_.order.orderId}}});
     stage_ = Stage::InDoubt;
     nextAt_ = hooks_.clock.now();
-    // An engine that checks fences is given the same order again under the new fence: from then
-    // on it refuses the former holder, and a repeat of the same order does no harm.
+    // An engine that checks fences receives the same order again under the new fence: from then on
+    // it refuses the previous holder, and a duplicate of the same order does no harm.
     if (engine_.checksFence && authority
         && record_.order.fence < authority->fence * ordersPerHolder) {
         record_.order.fence = nextFence(*authority);
@@ -217,10 +219,11 @@
 {
     unsentOrderId_.clear();
     const auto authority = hooks_.authority();
-    // The store's answer may have taken long; the lease that allowed this order may be over.
+    // The reply of the store may have been slow; the lease that allowed this order may have
+    // expired.
     if (guardEnabled(Guard::AuthorityCheckedBeforeSend) && !hasAuthority()) {
         stage_ = Stage::Reading;
-        wait(timing_.retryEvery);
+        scheduleNext(timing_.retryEvery);
         return;
     }
     stage_ = Stage::Sending;
@@ -228,14 +231,15 @@
     sentAt_ = hooks_.clock.now();
     EngineOrder order = record_.order;
     order.notAfter = authority ? authority->notAfter : hooks_.clock.now() + timing_.sendMargin;
-    hooks_.engines.send(order, current<OrderReply>(&EngineOrderTrack::sent));
+    hooks_.engines.send(order, guardCompletion<OrderReply>(&EngineOrderTrack::handleOrderReply));
 }
 
-void EngineOrderTrack::sent(const OrderReply &reply)
+void EngineOrderTrack::handleOrderReply(const OrderReply &reply)
 {
     const bool hadNoEffect =
         reply.status == OrderStatus::Refused || reply.status == OrderStatus::NotSent;
-    // A refusal speaks of this send alone. What a former holder sent may have been received.
+    // A refusal applies to this send only. The engine may have received what a previous holder
+    // sent.
     if (hadNoEffect && !inherited_) {
         settle(OrderPhase::NoEffect);
         return;
@@ -244,26 +248,27 @@
         hooks_.events(Event{&events::orderInDoubt,
                             {{"engine", engine_.id.text()}, {"order", record_.order.orderId}}});
     stage_ = Stage::InDoubt;
-    wait(timing_.settleEvery);
+    scheduleNext(timing_.settleEvery);
 }
 
 void EngineOrderTrack::readState()
 {
     busy_ = true;
-    hooks_.engines.readState(engine_.id,
-                             current<std::optional<EngineState>>(&EngineOrderTrack::stateRead));
+    hooks_.engines.readState(
+        engine_.id, guardCompletion<std::optional<EngineState>>(&EngineOrderTrack::stateRead));
 }
 
 void EngineOrderTrack::stateRead(const std::optional<EngineState> &state)
 {
-    wait(timing_.settleEvery);
+    scheduleNext(timing_.settleEvery);
     if (!state || state->currentOrderId == record_.order.orderId)
         return;
     if (state->lastOrderId == record_.order.orderId) {
         settle(OrderPhase::Done);
         return;
     }
-    // Not known there: it has not arrived yet, or never will, or a crash lost it.
+    // The engine does not know the order: it has not arrived yet, or never will, or a crash lost
+    // it.
     if (mayStillArrive(*state))
         return;
     settle(stateSatisfies(*state, record_.order) ? OrderPhase::Done : OrderPhase::NoEffect);
@@ -274,12 +279,13 @@
     if (!guardEnabled(Guard::WaitForSendsInFlight))
         return false;
     const Millis now = hooks_.clock.now();
-    const bool ownMayArrive = now < sentAt_ + timing_.maxInFlight && sentAt_ >= takenAt_;
-    // The former holder's authority had ended when this one began, so its last send left before.
-    const bool formerMayArrive = inherited_ && now < takenAt_ + timing_.maxInFlight;
+    const bool ownMayStillArrive = now < sentAt_ + timing_.maxInFlight && sentAt_ >= acquiredAt_;
+    // The authority of the previous holder had ended when this one began, so its last order was
+    // sent before.
+    const bool previousMayStillArrive = inherited_ && now < acquiredAt_ + timing_.maxInFlight;
     const bool isFenced =
         engine_.checksFence && inherited_ && state.highestFence >= record_.order.fence;
-    return ownMayArrive || (formerMayArrive && !isFenced);
+    return ownMayStillArrive || (previousMayStillArrive && !isFenced);
 }
 
 void EngineOrderTrack::settle(OrderPhase phase)
@@ -292,7 +298,7 @@
 {
     if (reply.status != StoreStatus::Ok) {
         stage_ = Stage::Reading;
-        wait(timing_.retryEvery);
+        scheduleNext(timing_.retryEvery);
         return;
     }
     version_ = reply.version;
--- a/modules/orders/track/EngineOrderTrack.h
+++ b/modules/orders/track/EngineOrderTrack.h
@@ -13,50 +13,56 @@
 
 namespace cuminrail {
 
-/** Spans that orders are settled by. */
+/** Intervals and margins for sending and settling orders. */
 struct OrderTiming
 {
-    /** No order is sent with less of the lease left than this. */
+    /** No order is sent if less than this remains of the lease. */
     Millis sendMargin{1000};
-    /** The longest that a send can still arrive after its sender's authority has ended. */
+    /**
+        The longest time that a sent order can still arrive after the authority of its sender has
+        ended.
+    */
     Millis maxInFlight = Millis::seconds(5);
     Millis settleEvery{500};
     Millis retryEvery{500};
 };
 
-/** How many orders one holder may give an engine; the lower bits of an order's fence. */
+/**
+    Number of orders that one holder may give an engine; the range of the lower bits of an order's
+    fence.
+*/
 inline constexpr FenceNumber ordersPerHolder = 1U << 20U;
 
-/** An engine as orders see it. */
+/** An engine that receives orders. */
 struct OrderedEngine
 {
     UpstreamId id;
-    /** It refuses orders with a lower fence than it has seen. */
+    /** It refuses orders with a lower fence than the highest it has received. */
     bool checksFence = false;
 };
 
 /**
-    The orders of one engine, as the holder of its failure domain's duty sees them.
+    Controls the orders of one engine for the holder of its failure domain's duty.
 
-    Knows of at most one order that is not settled, its own or a former holder's. The record in
-    the store is written under a condition on its version, so that of two who believe to be in
-    charge only one can add an order after the same predecessor.
+    Tracks at most one unsettled order, its own or one of a previous holder. The record in the store
+    is written conditionally on its version, so that of two instances that both consider themselves
+    the holder only one can add an order after the same predecessor.
 */
 class EngineOrderTrack
 {
 public:
     enum class Stage : std::uint8_t {
-        /** Not in charge: does nothing. */
+        /** Not the holder: does nothing. */
         Off,
-        /** The record in the store is to be read. */
+        /** The record has to be read from the store. */
         Reading,
-        /** The last order is settled; another may be given. */
+        /** The last order is settled; another one may be given. */
         Idle,
         /** The record is being written; nothing has been sent. */
         Recording,
-        /** The order is on its way. */
+        /** The order is being sent. */
         Sending,
-        /** It may have been received; the engine's state will tell. */
+        /** The engine may have received it; its state will settle that. */
         InDoubt,
         /** The result is being written. */
         RecordingResult,
@@ -69,7 +75,7 @@
         Clock clock;
         RandomHook random;
         EventSink events;
-        /** The right to act at this moment. */
+        /** Returns the authority to act at this moment. */
         std::function<std::optional<Authority>()> authority;
         std::function<void(const OrderRecord &)> onSettled;
         std::string instance;
@@ -79,40 +85,44 @@
     EngineOrderTrack(const EngineOrderTrack &) = delete;
     EngineOrderTrack &operator=(const EngineOrderTrack &) = delete;
 
-    /** Takes charge: whatever a former holder left is settled first. */
-    void begin();
-    /** Is no longer in charge; answers that still come are ignored. */
-    void end();
-    /** Does what is due. @c mayRead bounds how many records are read at a take-over. */
+    /** Starts as the holder: settles first what a previous holder left. */
+    void start();
+    /** Stops: this instance is no longer the holder. Later replies are ignored. */
+    void stop();
+    /**
+        Performs due work. Returns whether it read the record; @c mayRead limits these reads when a
+        duty is taken over.
+    */
     bool tick(bool mayRead);
-    /** Gives an order. Refuses while another one is not settled or without authority. */
+    /** Gives an order. Fails while another one is unsettled or without authority. */
     bool request(EngineOrderKind kind, const std::string &target, Reason *lastReason);
 
     Stage stage() const { return stage_; }
-    /** Returns the order that is not settled. */
+    /** Returns the unsettled order. */
     std::optional<OrderRecord> outstanding() const;
-    /** Returns the last order that was settled, when none is outstanding. */
+    /** Returns the last settled order if none is outstanding. */
     std::optional<OrderRecord> lastSettled() const;
     void setChecksFence(bool checks) { engine_.checksFence = checks; }
 
 private:
-    /** Wraps a completion so that it does nothing after end() or a later begin(). */
+    /** Wraps a completion so that it does nothing after stop() or a later start(). */
     template<typename Reply>
-    std::function<void(const Reply &)> current(void (EngineOrderTrack::*method)(const Reply &));
+    std::function<void(const Reply &)>
+    guardCompletion(void (EngineOrderTrack::*method)(const Reply &));
 
     void read();
     void readDone(const StoreReply &reply);
-    void takeUp(const OrderRecord &record);
+    void adoptRecord(const OrderRecord &record);
     void write(Stage stage);
     void recorded(const StoreReply &reply);
     void resultRecorded(const StoreReply &reply);
     void send();
-    void sent(const OrderReply &reply);
+    void handleOrderReply(const OrderReply &reply);
     void readState();
     void stateRead(const std::optional<EngineState> &state);
     bool mayStillArrive(const EngineState &state) const;
     void settle(OrderPhase phase);
-    void wait(Millis span);
+    void scheduleNext(Millis span);
     bool hasAuthority() const;
     FenceNumber nextFence(const Authority &authority);
 
@@ -123,16 +133,19 @@
     std::uint64_t epoch_ = 0;
     bool busy_ = false;
     Millis nextAt_;
-    Millis takenAt_;
+    Millis acquiredAt_;
     Millis sentAt_;
-    /** Counts the orders given under one lease fence. */
+    /** Number of orders given under one lease fence. */
     FenceNumber sequence_ = 0;
     FenceNumber sequenceFence_ = 0;
-    /** The order in record_ came from a former holder, who may have sent it. */
+    /** The order in record_ came from a previous holder, which may have sent it. */
     bool inherited_ = false;
     ObjectVersion version_ = 0;
     OrderRecord record_;
-    /** Orders this life has put into the store's hands and not sent: safe to send when found. */
+    /**
+        The order that this incarnation has written to the store but not sent: safe to send if found
+        there.
+    */
     std::string unsentOrderId_;
 };
 
