--- a/modules/lease/keeper/DutyLease.cpp
+++ b/modules/lease/keeper/DutyLease.cpp
@@ -10,13 +10,13 @@
 DutyLease::DutyLease(std::string duty, InstanceLife self, const LeaseTiming &timing, Hooks hooks)
     : duty_(std::move(duty)), self_(std::move(self)), timing_(timing), hooks_(std::move(hooks))
 {
-    // Instances that start together must not all read in the same millisecond.
-    nextAt_ = hooks_.clock.now() + jittered(timing_.retryFirst);
+    // Jitter: instances that start together must not all read in the same millisecond.
+    nextAt_ = hooks_.clock.now() + withJitter(timing_.retryFirst);
 }
 
 std::optional<Authority> DutyLease::authority(Millis now) const
 {
-    if (!held_ || now >= held_->validUntil || releaseWanted_)
+    if (!held_ || now >= held_->validUntil || releaseRequested_)
         return std::nullopt;
     return Authority{held_->fence, held_->validUntil};
 }
@@ -36,14 +36,14 @@
 bool DutyLease::tick(const Candidacy &candidacy)
 {
     const Millis now = hooks_.clock.now();
-    lapseIfDue(now);
+    expireIfDue(now);
     if (busy_ || now < nextAt_)
         return false;
     if (readBackDue_) {
         read();
         return false;
     }
-    if (releaseWanted_) {
+    if (releaseRequested_) {
         sendRelease();
         return false;
     }
@@ -57,9 +57,9 @@
 bool DutyLease::tickUnheld(const Candidacy &candidacy, Millis now)
 {
     const bool knowsLease = observed_.has_value();
-    const bool isDue = knowsLease && now >= takeAt(candidacy);
-    if (isDue && candidacy.mayTake) {
-        sendTake();
+    const bool isDue = knowsLease && now >= acquireAt(candidacy);
+    if (isDue && candidacy.mayAcquire) {
+        sendAcquire();
         return true;
     }
     if (isDue)
@@ -69,14 +69,14 @@
     return false;
 }
 
-Millis DutyLease::takeAt(const Candidacy &candidacy) const
+Millis DutyLease::acquireAt(const Candidacy &candidacy) const
 {
     const LeaseRecord &record = observed_->record;
     Millis wait = timing_.stagger * static_cast<std::int64_t>(candidacy.place);
     if (!candidacy.hasRoom)
         wait += timing_.fullDelay;
-    // Someone who does not read the lease regularly would write on stale knowledge. It acts only
-    // right after a list, on a lease that has not moved since the list before.
+    // An instance that does not read the lease regularly would write from stale data. It acts only
+    // right after a list, on a lease that has not changed since the list before.
     if (!candidacy.isCandidate) {
         const bool isFresh = hooks_.clock.now() - observed_->lastSeen < Millis::seconds(1);
         if (!isFresh)
@@ -84,15 +84,16 @@
         return observed_->firstSeen + timing_.listEvery / 2 + record.term;
     }
     const bool isFree = observed_->version == 0 || record.isReleased() || isOwn(record);
-    // The holder counts its term on its own clock, from before it sent the write that made this
-    // version; this instance saw the version later. Waiting a full term from its own first sight
-    // ends after the holder's belief does. Without that, two instances believe at once.
+    // The holder counts its term on its own clock, from before it sent the write that created this
+    // version; this instance saw the version later. A full term from its own first sight ends after
+    // the holder considers the lease expired. Without that wait, two instances consider themselves
+    // the holder at once.
     if (!isFree && guardEnabled(Guard::SuccessorWaitsFullTerm))
         wait += record.term;
     return observed_->firstSeen + wait;
 }
 
-void DutyLease::lapseIfDue(Millis now)
+void DutyLease::expireIfDue(Millis now)
 {
     if (held_ && now >= held_->validUntil)
         lose("lapsed");
@@ -113,17 +114,17 @@
     if (!held_ && pending_.empty())
         return;
     lose("released");
-    releaseWanted_ = true;
+    releaseRequested_ = true;
     nextAt_ = hooks_.clock.now();
 }
 
-void DutyLease::sendTake()
+void DutyLease::sendAcquire()
 {
     LeaseRecord record;
     record.holder = self_.instance;
     highestFence_ = std::max(highestFence_, observed_->record.fence);
-    // An upstream that saw the last holder's fence refuses whatever that holder still sends, but
-    // only if the new holder's number is higher.
+    // An upstream that has received the last holder's fence refuses whatever that holder still
+    // sends, but only if the fence of the new holder is higher.
     record.fence = highestFence_ + (guardEnabled(Guard::FenceRisesWithHolder) ? 1 : 0);
     sendWrite(record);
 }
@@ -139,7 +140,7 @@
 void DutyLease::sendRelease()
 {
     if (!observed_ || !isOwn(observed_->record)) {
-        releaseWanted_ = false;
+        releaseRequested_ = false;
         return;
     }
     LeaseRecord record;
@@ -165,10 +166,10 @@
 void DutyLease::written(const PendingWrite &write, const StoreReply &reply)
 {
     busy_ = false;
-    lapseIfDue(hooks_.clock.now());
+    expireIfDue(hooks_.clock.now());
     switch (reply.status) {
     case StoreStatus::Ok:
-        adopt(reply.version, write);
+        acceptWrite(reply.version, write);
         return;
     case StoreStatus::Unavailable:
         pending_.erase(std::remove_if(pending_.begin(), pending_.end(),
@@ -176,15 +177,15 @@
                                           return other.record.token == write.record.token;
                                       }),
                        pending_.end());
-        retryLater();
+        scheduleRetry();
         return;
     default:
         break;
     }
-    // The write may have taken effect though its answer was lost; a repeat would then conflict
-    // with the writer's own success. What stands in the store, with its token, settles it.
+    // The write may have taken effect though its reply was lost; a retry would then conflict with
+    // the successful write. The token of the record in the store settles it.
     if (!guardEnabled(Guard::LostAnswerReadBack)) {
-        adopt(observed_ ? observed_->version : 0, write);
+        acceptWrite(observed_ ? observed_->version : 0, write);
         return;
     }
     readBackDue_ = true;
@@ -200,32 +201,33 @@
 void DutyLease::readDone(const StoreReply &reply)
 {
     busy_ = false;
-    lapseIfDue(hooks_.clock.now());
+    expireIfDue(hooks_.clock.now());
     if (reply.status != StoreStatus::Ok && reply.status != StoreStatus::NotFound) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     readBackDue_ = false;
     retryDelay_ = Millis(0);
-    nextAt_ = hooks_.clock.now() + jittered(timing_.pollEvery);
+    nextAt_ = hooks_.clock.now() + withJitter(timing_.pollEvery);
     if (reply.status == StoreStatus::Ok && !reply.objects.empty()) {
         observe(reply.objects.front());
         return;
     }
-    // A lagging read may not show the object yet; the store's revision tells.
+    // A stale read may not show the object yet; the revision of the store tells it apart from a
+    // missing object.
     if (!observed_ || reply.version >= observed_->version)
-        see(0, LeaseRecord{});
+        updateObserved(0, LeaseRecord{});
 }
 
 void DutyLease::observe(const StoreObject &object)
 {
     const auto record = LeaseRecord::fromText(object.value, nullptr);
-    // A value that is no lease is left to the operator: taking it could lose the fence number.
+    // An invalid value is left to the operator: overwriting it could lose the fence number.
     if (record)
-        see(object.version, *record);
+        updateObserved(object.version, *record);
 }
 
-void DutyLease::see(ObjectVersion version, const LeaseRecord &record)
+void DutyLease::updateObserved(ObjectVersion version, const LeaseRecord &record)
 {
     const Millis now = hooks_.clock.now();
     if (observed_ && version != 0 && version < observed_->version)
@@ -236,7 +238,7 @@
     observed_->lastSeen = now;
     for (const PendingWrite &write : std::vector<PendingWrite>(pending_)) {
         if (write.record.token == record.token) {
-            adopt(version, write);
+            acceptWrite(version, write);
             return;
         }
     }
@@ -244,16 +246,16 @@
         lose("replaced");
     if (held_)
         nextAt_ = now + timing_.retryFirst;
-    else if (!releaseWanted_ && isOwn(record))
+    else if (!releaseRequested_ && isOwn(record))
         nextAt_ = now;
     if (!isOwn(record))
-        releaseWanted_ = false;
-    // Wake exactly when a foreign term has been waited out, not at the next poll after it.
+        releaseRequested_ = false;
+    // Wakes exactly when the term of another holder has passed, not at the next poll after it.
     if (!held_ && !record.isReleased() && version != 0)
         nextAt_ = std::min(nextAt_, std::max(now, observed_->firstSeen + record.term));
 }
 
-void DutyLease::adopt(ObjectVersion version, const PendingWrite &write)
+void DutyLease::acceptWrite(ObjectVersion version, const PendingWrite &write)
 {
     const Millis now = hooks_.clock.now();
     retryDelay_ = Millis(0);
@@ -261,17 +263,17 @@
     highestFence_ = std::max(highestFence_, write.record.fence);
     observed_ = Observed{version, write.record, now, now};
     if (write.record.isReleased()) {
-        releaseWanted_ = false;
-        nextAt_ = now + jittered(timing_.pollEvery);
+        releaseRequested_ = false;
+        nextAt_ = now + withJitter(timing_.pollEvery);
         return;
     }
-    // A successor counts from when the store showed it this version, which can be long before
-    // the answer came here. Counting from the answer would end after the successor's wait does:
-    // two holders at once. The instant before sending is earlier than any reader's sight.
-    const Millis countedFrom = guardEnabled(Guard::LeaseCountedFromSend) ? write.sentAt : now;
-    const Millis validUntil = countedFrom + timing_.term - timing_.margin;
-    if (validUntil <= now || releaseWanted_) {
-        lose("answer came too late");
+    // A successor counts from when the store showed it this version, which can be long before the
+    // reply arrived here. A term counted from the reply would end after the wait of the successor:
+    // two holders at once. The time before sending precedes the first read of any other instance.
+    const Millis termStart = guardEnabled(Guard::LeaseCountedFromSend) ? write.sentAt : now;
+    const Millis validUntil = termStart + timing_.term - timing_.margin;
+    if (validUntil <= now || releaseRequested_) {
+        lose("write confirmed too late");
         nextAt_ = now;
         return;
     }
@@ -286,21 +288,21 @@
         hooks_.onTaken(Authority{held_->fence, held_->validUntil});
 }
 
-void DutyLease::retryLater()
+void DutyLease::scheduleRetry()
 {
     const Millis now = hooks_.clock.now();
     if (held_) {
         nextAt_ = now + timing_.retryFirst;
         return;
     }
-    // After an outage of the store every instance finds it back at once. Spans that double and
-    // are drawn at random keep them from arriving together.
+    // After an outage of the store every instance finds it available at once. Exponential back-off
+    // with jitter keeps them from calling together.
     const Millis doubled = std::max(timing_.retryFirst, retryDelay_ * 2);
     retryDelay_ = std::min(timing_.retryMost, doubled);
-    nextAt_ = now + retryDelay_ / 2 + jittered(retryDelay_ / 2);
+    nextAt_ = now + retryDelay_ / 2 + withJitter(retryDelay_ / 2);
 }
 
-Millis DutyLease::jittered(Millis span) const
+Millis DutyLease::withJitter(Millis span) const
 {
     const auto width = static_cast<std::uint64_t>(std::max<std::int64_t>(span.count(), 1));
     const auto drawn = static_cast<std::int64_t>(hooks_.random() % width);
--- a/modules/lease/keeper/DutyLease.h
+++ b/modules/lease/keeper/DutyLease.h
@@ -14,39 +14,42 @@
 
 namespace cuminrail {
 
-/** The right to act for a duty, with the fence to act under, up to an instant of this machine. */
+/**
+    The authority to act for a duty: the fence to use, and the end of its validity on the clock of
+    this machine.
+*/
 struct Authority
 {
     FenceNumber fence = 0;
     Millis notAfter;
 };
 
-/** Which instance runs this code, in which life. */
+/** The instance that runs this code, and its incarnation. */
 struct InstanceLife
 {
     InstanceId instance;
     Incarnation incarnation = 0;
 };
 
-/** How far an instance may go for a duty at the moment. */
+/** What an instance may do about the lease of a duty at the moment. */
 struct Candidacy
 {
-    /** Reads the lease regularly and takes it when it lapses. */
+    /** Reads the lease regularly and acquires it when it expires. */
     bool isCandidate = false;
     /** 0 for the first candidate; later ones wait longer. */
     std::size_t place = 0;
     /** Holds fewer duties than its share. */
     bool hasRoom = true;
-    /** May write to take the lease in this tick; limits the rate over all duties. */
-    bool mayTake = true;
+    /** May write to acquire the lease in this tick; limits the rate over all duties. */
+    bool mayAcquire = true;
 };
 
 /**
-    One duty's lease as one instance sees it: watches it, takes it, renews it, gives it back.
+    The lease of one duty as seen by one instance: observes, acquires, renews and releases it.
 
-    Counts from before each write was sent, so that a slow answer shortens what is left of the
-    lease and never lengthens it. Knows a foreign lease only by the version of its object and by
-    how long ago it saw that version first.
+    Counts the term from before each write was sent, so that a slow reply shortens the remaining
+    lease and never lengthens it. The expiry of another holder's lease is derived only from the
+    version of its object and from how long ago this instance first observed that version.
 */
 class DutyLease
 {
@@ -57,9 +60,9 @@
         Clock clock;
         RandomHook random;
         EventSink events;
-        /** The duty was taken; orders may go out until it is lost. */
+        /** The lease was acquired; orders may be sent until it is lost. */
         std::function<void(const Authority &)> onTaken;
-        /** The duty was lost or is being given back. */
+        /** The lease was lost or is being released. */
         std::function<void()> onLost;
     };
 
@@ -67,18 +70,18 @@
     DutyLease(const DutyLease &) = delete;
     DutyLease &operator=(const DutyLease &) = delete;
 
-    /** Does what is due. Returns true when it wrote to take the lease. */
+    /** Performs due work. Returns whether it wrote to acquire the lease. */
     bool tick(const Candidacy &candidacy);
-    /** Takes in what a list of all leases showed. */
+    /** Applies an object from a list of all leases. */
     void observe(const StoreObject &object);
-    /** Gives the duty back so that another instance can take it at once. */
+    /** Releases the lease so that another instance can acquire it at once. */
     void release();
 
-    /** Returns the right to act, to be asked at the last moment before acting. */
+    /** Returns the authority to act; request it at the last moment before acting. */
     std::optional<Authority> authority(Millis now) const;
-    /** Returns true when no write of this instance may still change the lease. */
-    bool isQuiet() const { return !busy_ && !releaseWanted_; }
-    /** Returns the last record seen, for the state dump. */
+    /** Returns whether no write of this instance can still change the lease. */
+    bool isQuiet() const { return !busy_ && !releaseRequested_; }
+    /** Returns the last record observed, for the state dump. */
     std::optional<LeaseRecord> lastSeen() const;
 
     static std::string path(const std::string &duty) { return "leases/" + duty; }
@@ -91,7 +94,7 @@
         Millis firstSeen;
         Millis lastSeen;
     };
-    /** A write that may have taken effect and whose answer has not been believed yet. */
+    /** A write that may have taken effect and is not confirmed yet. */
     struct PendingWrite
     {
         LeaseRecord record;
@@ -104,22 +107,22 @@
         std::string token;
     };
 
-    Millis takeAt(const Candidacy &candidacy) const;
+    Millis acquireAt(const Candidacy &candidacy) const;
     bool isOwn(const LeaseRecord &record) const;
     bool tickUnheld(const Candidacy &candidacy, Millis now);
-    void lapseIfDue(Millis now);
+    void expireIfDue(Millis now);
     void lose(const char *why);
     void sendWrite(LeaseRecord record);
-    void sendTake();
+    void sendAcquire();
     void sendRenewal();
     void sendRelease();
     void written(const PendingWrite &write, const StoreReply &reply);
     void read();
     void readDone(const StoreReply &reply);
-    void see(ObjectVersion version, const LeaseRecord &record);
-    void adopt(ObjectVersion version, const PendingWrite &write);
-    void retryLater();
-    Millis jittered(Millis span) const;
+    void updateObserved(ObjectVersion version, const LeaseRecord &record);
+    void acceptWrite(ObjectVersion version, const PendingWrite &write);
+    void scheduleRetry();
+    Millis withJitter(Millis span) const;
 
     std::string duty_;
     InstanceLife self_;
@@ -130,9 +133,9 @@
     std::optional<Held> held_;
     FenceNumber highestFence_ = 0;
     bool busy_ = false;
-    /** The result of the last write is unknown; the lease is read before the next one. */
+    /** The result of the last write is unknown; the lease is read before the next write. */
     bool readBackDue_ = false;
-    bool releaseWanted_ = false;
+    bool releaseRequested_ = false;
     Millis nextAt_;
     Millis retryDelay_;
 };
--- a/modules/lease/keeper/LeaseKeeper.cpp
+++ b/modules/lease/keeper/LeaseKeeper.cpp
@@ -6,7 +6,7 @@
 namespace cuminrail {
 
 namespace {
-constexpr Millis refreshEvery{1000};
+constexpr Millis refreshInterval{1000};
 } // namespace
 
 LeaseKeeper::LeaseKeeper(InstanceLife self, const LeaseTiming &timing, Hooks hooks)
@@ -15,7 +15,7 @@
     const Millis now = hooks_.clock.now();
     const auto width = static_cast<std::uint64_t>(timing_.listEvery.count());
     nextList_ = now + Millis(static_cast<std::int64_t>(hooks_.random() % width));
-    nextShed_ = now + timing_.rebalanceEvery;
+    nextRebalance_ = now + timing_.rebalanceEvery;
 }
 
 void LeaseKeeper::tick()
@@ -24,33 +24,33 @@
     if (now >= nextRefresh_)
         refresh(now);
     listIfDue(now);
-    shedIfDue(now);
-    const bool hasRoom = heldCount(now) < bound_;
+    rebalanceIfDue(now);
+    const bool hasRoom = heldCount(now) < maxDuties_;
     for (auto &[duty, lease] : leases_) {
         if (lease->tick(candidacy(duty, hasRoom, now)))
-            nextTake_ = now + timing_.takeEvery;
+            nextAcquire_ = now + timing_.acquireInterval;
     }
-    for (auto &lease : leaving_)
+    for (auto &lease : releasing_)
         lease->tick(Candidacy{false, 0, false, false});
 }
 
 void LeaseKeeper::refresh(Millis now)
 {
-    nextRefresh_ = now + refreshEvery;
-    adjustDuties();
+    nextRefresh_ = now + refreshInterval;
+    updateDuties();
     std::vector<InstanceId> live = hooks_.liveMembers();
     if (std::find(live.begin(), live.end(), self_.instance) == live.end())
         live.push_back(self_.instance);
-    bound_ = DutySpread::bound(leases_.size(), live.size());
-    places_.clear();
+    maxDuties_ = DutySpread::bound(leases_.size(), live.size());
+    ranks_.clear();
     for (const auto &[duty, lease] : leases_) {
-        const auto place = DutySpread::rank(duty, self_.instance, live, timing_.candidates);
-        if (place)
-            places_[duty] = *place;
+        const auto rank = DutySpread::rank(duty, self_.instance, live, timing_.candidates);
+        if (rank)
+            ranks_[duty] = *rank;
     }
 }
 
-void LeaseKeeper::adjustDuties()
+void LeaseKeeper::updateDuties()
 {
     const std::vector<std::string> wanted = hooks_.duties();
     const std::set<std::string> wantedSet(wanted.begin(), wanted.end());
@@ -60,12 +60,12 @@
             continue;
         }
         it->second->release();
-        leaving_.push_back(std::move(it->second));
+        releasing_.push_back(std::move(it->second));
         it = leases_.erase(it);
     }
-    leaving_.erase(std::remove_if(leaving_.begin(), leaving_.end(),
-                                  [](const auto &lease) { return lease->isQuiet(); }),
-                   leaving_.end());
+    releasing_.erase(std::remove_if(releasing_.begin(), releasing_.end(),
+                                    [](const auto &lease) { return lease->isQuiet(); }),
+                     releasing_.end());
     for (const std::string &duty : wantedSet) {
         if (leases_.count(duty) != 0)
             continue;
@@ -85,13 +85,13 @@
 Candidacy LeaseKeeper::candidacy(const std::string &duty, bool hasRoom, Millis now) const
 {
     Candidacy candidacy;
-    const auto place = places_.find(duty);
-    candidacy.isCandidate = place != places_.end();
-    candidacy.place = candidacy.isCandidate ? place->second : timing_.candidates;
+    const auto rank = ranks_.find(duty);
+    candidacy.isCandidate = rank != ranks_.end();
+    candidacy.place = candidacy.isCandidate ? rank->second : timing_.candidates;
     candidacy.hasRoom = hasRoom;
-    const auto restraint = restrainedUntil_.find(duty);
-    const bool isRestrained = restraint != restrainedUntil_.end() && now < restraint->second;
-    candidacy.mayTake = !stopping_ && !isRestrained && now >= nextTake_;
+    const auto cooldown = cooldownUntil_.find(duty);
+    const bool isCoolingDown = cooldown != cooldownUntil_.end() && now < cooldown->second;
+    candidacy.mayAcquire = !stopping_ && !isCoolingDown && now >= nextAcquire_;
     return candidacy;
 }
 
@@ -116,27 +116,28 @@
     }
 }
 
-void LeaseKeeper::shedIfDue(Millis now)
+void LeaseKeeper::rebalanceIfDue(Millis now)
 {
-    if (stopping_ || now < nextShed_)
+    if (stopping_ || now < nextRebalance_)
         return;
-    nextShed_ = now + timing_.rebalanceEvery;
-    const std::vector<std::string> mine = held(now);
-    if (mine.size() <= bound_)
+    nextRebalance_ = now + timing_.rebalanceEvery;
+    const std::vector<std::string> heldDuties = held(now);
+    if (heldDuties.size() <= maxDuties_)
         return;
-    // Gives away what others are better placed for, so that it does not come straight back.
-    std::string worst = mine.front();
-    std::size_t worstPlace = 0;
-    for (const std::string &duty : mine) {
-        const auto place = places_.find(duty);
-        const std::size_t value = place == places_.end() ? timing_.candidates : place->second;
-        if (value > worstPlace) {
-            worst = duty;
-            worstPlace = value;
+    // Releases a duty for which others rank before this instance, so that it does not come straight
+    // back.
+    std::string released = heldDuties.front();
+    std::size_t highestRank = 0;
+    for (const std::string &duty : heldDuties) {
+        const auto rank = ranks_.find(duty);
+        const std::size_t rankValue = rank == ranks_.end() ? timing_.candidates : rank->second;
+        if (rankValue > highestRank) {
+            released = duty;
+            highestRank = rankValue;
         }
     }
-    restrainedUntil_[worst] = now + timing_.restraint;
-    leases_.at(worst)->release();
+    cooldownUntil_[released] = now + timing_.rebalanceCooldown;
+    leases_.at(released)->release();
 }
 
 std::optional<Authority> LeaseKeeper::authority(const std::string &duty, Millis now) const
--- a/modules/lease/keeper/LeaseKeeper.h
+++ b/modules/lease/keeper/LeaseKeeper.h
@@ -13,13 +13,13 @@
 namespace cuminrail {
 
 /**
-    All duties' leases as one instance sees them.
+    The leases of all duties as seen by one instance.
 
-    Takes its share, renews it, takes over from instances that crashed, sheds what is more than
-    its share, and gives everything back at a planned stop. Runs on the control thread: call
-    tick() about every 100 ms. Traffic never asks it for anything.
+    Acquires its share, renews it, takes over from instances that crashed, releases what exceeds its
+    share, and releases everything at a planned stop. Runs on the control thread: call tick() about
+    every 100 ms. Request handling does not depend on it.
 
-    @see DutyLease, DutySpread, docs/LEASES.md
+    @see DutyLease, DutyAssignment, docs/LEASES.md
 */
 class LeaseKeeper
 {
@@ -30,15 +30,15 @@
         Clock clock;
         RandomHook random;
         EventSink events;
-        /** The duties that exist by the settings in force. */
+        /** The duties that exist in the settings in force. */
         std::function<std::vector<std::string>()> duties;
-        /** Instances believed to be up, this one among them or not. */
+        /** The instances considered alive, with or without this one. */
         std::function<std::vector<InstanceId>()> liveMembers;
         std::function<void(const std::string &duty, const Authority &)> onTaken;
         std::function<void(const std::string &duty)> onLost;
     };
 
-    /** One duty for the state dump. */
+    /** The state of one duty for the state dump. */
     struct View
     {
         std::string duty;
@@ -50,27 +50,27 @@
     LeaseKeeper(const LeaseKeeper &) = delete;
     LeaseKeeper &operator=(const LeaseKeeper &) = delete;
 
-    /** Does what is due at this instant. */
+    /** Performs due work. */
     void tick();
 
-    /** Returns the right to act for a duty. Ask again at the last moment before acting. */
+    /** Returns the authority to act for a duty. Request it at the last moment before acting. */
     std::optional<Authority> authority(const std::string &duty, Millis now) const;
-    /** Returns the duties held at this instant. */
+    /** Returns the duties held at this time. */
     std::vector<std::string> held(Millis now) const;
 
-    /** Begins a planned stop: gives all duties back and takes none. */
+    /** Begins a planned stop: releases all duties and acquires none. */
     void stop();
-    /** Returns true when a planned stop has given everything back, or could not. */
+    /** Returns whether the planned stop has released everything or failed to. */
     bool isStopped() const;
 
     std::vector<View> view(Millis now) const;
 
 private:
     void refresh(Millis now);
-    void adjustDuties();
+    void updateDuties();
     void listIfDue(Millis now);
     void listed(const StoreReply &reply);
-    void shedIfDue(Millis now);
+    void rebalanceIfDue(Millis now);
     Candidacy candidacy(const std::string &duty, bool hasRoom, Millis now) const;
     std::size_t heldCount(Millis now) const;
 
@@ -78,17 +78,17 @@
     LeaseTiming timing_;
     Hooks hooks_;
     std::map<std::string, std::unique_ptr<DutyLease>> leases_;
-    /** Leases of duties that settings no longer name, until their last answer has come. */
-    std::vector<std::unique_ptr<DutyLease>> leaving_;
-    std::map<std::string, std::size_t> places_;
-    std::map<std::string, Millis> restrainedUntil_;
-    std::size_t bound_ = 1;
+    /** Leases of duties that were removed from the settings, until their last reply has arrived. */
+    std::vector<std::unique_ptr<DutyLease>> releasing_;
+    std::map<std::string, std::size_t> ranks_;
+    std::map<std::string, Millis> cooldownUntil_;
+    std::size_t maxDuties_ = 1;
     bool stopping_ = false;
     bool listing_ = false;
     Millis nextRefresh_;
     Millis nextList_;
-    Millis nextShed_;
-    Millis nextTake_;
+    Millis nextRebalance_;
+    Millis nextAcquire_;
 };
 
 } // namespace cuminrail
--- a/modules/lease/keeper/LeaseKeeper_test.cpp
+++ b/modules/lease/keeper/LeaseKeeper_test.cpp
@@ -11,16 +11,18 @@
 
 namespace {
 
-/** One instance with nothing but its leases. */
+/** One instance that only manages its leases. */
 struct Node
 {
     FakeProcessPtr process;
-    std::unique_ptr<LeaseKeeper> keeper;
-    /** This node's clock differs from others'. */
+    std::unique_ptr<LeaseKeeper> manager;
+    /** Offset of this node's clock from the others'. */
     Millis clockOffset;
 };
 
-/** Some instances, one store, and a look at who believes what after every tick. */
+/**
+    Some instances and one store; records after every tick how many consider themselves the holder.
+*/
 class Cluster
 {
 public:
@@ -30,9 +32,9 @@
     std::vector<std::string> duties{"domain/kgl-a"};
     std::vector<InstanceId> members;
     std::map<std::string, Node> nodes;
-    std::size_t mostBelievers = 0;
-    bool fenceFell = false;
-    Millis tickEvery{50};
+    std::size_t maxHolders = 0;
+    bool fenceDecreased = false;
+    Millis tickInterval{50};
 
     explicit Cluster(std::uint64_t seed = 1) : scheduler(seed) { }
 
@@ -51,29 +53,29 @@
             [this] { return members; },
             {},
             {}};
-        node.keeper = std::make_unique<LeaseKeeper>(InstanceLife{InstanceId(name), incarnation},
-                                                    LeaseTiming{}, std::move(hooks));
+        node.manager = std::make_unique<LeaseKeeper>(InstanceLife{InstanceId(name), incarnation},
+                                                     LeaseTiming{}, std::move(hooks));
     }
 
     void run(Millis span)
     {
         const Millis end = scheduler.now() + span;
         while (scheduler.now() < end) {
-            scheduler.runFor(tickEvery);
+            scheduler.runFor(tickInterval);
             for (auto &[name, node] : nodes) {
                 if (node.process->isRunning(scheduler.now()))
-                    node.keeper->tick();
+                    node.manager->tick();
             }
-            look();
+            recordHolders();
         }
     }
 
-    std::vector<std::string> believers(const std::string &duty)
+    std::vector<std::string> holdersOf(const std::string &duty)
     {
         std::vector<std::string> names;
         for (auto &[name, node] : nodes) {
             if (node.process->isRunning(scheduler.now())
-                && node.keeper->authority(duty, scheduler.now() + node.clockOffset))
+                && node.manager->authority(duty, scheduler.now() + node.clockOffset))
                 names.push_back(name);
         }
         return names;
@@ -87,17 +89,17 @@
 
     Node &holder()
     {
-        const auto names = believers(duties.front());
+        const auto names = holdersOf(duties.front());
         REQUIRE(names.size() == 1);
         return nodes.at(names.front());
     }
 
 private:
-    void look()
+    void recordHolders()
     {
         for (const std::string &duty : duties) {
-            mostBelievers = std::max(mostBelievers, believers(duty).size());
-            fenceFell = fenceFell || fence(duty) < fences_[duty];
+            maxHolders = std::max(maxHolders, holdersOf(duty).size());
+            fenceDecreased = fenceDecreased || fence(duty) < fences_[duty];
             fences_[duty] = std::max(fences_[duty], fence(duty));
         }
     }
@@ -107,8 +109,8 @@
 
 } // namespace
 
-// The holder of a duty is killed. Nothing may be ordered for its domain until another instance
-// takes over; operators were told that this takes ten seconds at most.
+// The holder of a duty is killed. No order may be sent for its domain until another instance takes
+// over; operators rely on ten seconds at most.
 TEST_CASE("a crashed holder is replaced within ten seconds, with a higher fence")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -120,15 +122,15 @@
         const FenceNumber before = cluster.fence("domain/kgl-a");
         cluster.holder().process->kill();
         cluster.run(Millis::seconds(10));
-        CHECK(cluster.believers("domain/kgl-a").size() == 1);
+        CHECK(cluster.holdersOf("domain/kgl-a").size() == 1);
         CHECK(cluster.fence("domain/kgl-a") == before + 1);
-        CHECK(cluster.mostBelievers == 1);
+        CHECK(cluster.maxHolders == 1);
     }
 }
 
-// The machine under the holder is suspended for longer than the lease and then goes on in the
-// middle of what it was doing. It must know at once that it may order nothing any more.
-TEST_CASE("a holder that was paused past its lease does not believe in it when it goes on")
+// The machine of the holder is suspended for longer than the lease and then continues where it
+// stopped. The holder must notice at once that it may send no more orders.
+TEST_CASE("a holder that was paused past the end of its lease has no authority when it continues")
 {
     Cluster cluster;
     for (const char *name : {"a", "b", "c"})
@@ -137,36 +139,37 @@
     Node &paused = cluster.holder();
     paused.process->pauseUntil(cluster.scheduler.now() + Millis::seconds(30));
     cluster.run(Millis::seconds(29));
-    CHECK(cluster.believers("domain/kgl-a").size() == 1);
+    CHECK(cluster.holdersOf("domain/kgl-a").size() == 1);
     cluster.run(Millis::seconds(10));
-    CHECK(cluster.mostBelievers == 1);
-    CHECK(!paused.keeper->authority("domain/kgl-a", cluster.scheduler.now() + paused.clockOffset));
+    CHECK(cluster.maxHolders == 1);
+    CHECK(!paused.manager->authority("domain/kgl-a", cluster.scheduler.now() + paused.clockOffset));
 }
 
-TEST_CASE("a planned stop hands the duty over without waiting out the term")
+TEST_CASE("a planned stop hands the duty over without a wait for the term")
 {
     Cluster cluster;
     for (const char *name : {"a", "b", "c"})
         cluster.start(name);
     cluster.run(Millis::seconds(10));
-    Node &leaving = cluster.holder();
-    leaving.keeper->stop();
+    Node &stopping = cluster.holder();
+    stopping.manager->stop();
     cluster.run(Millis::seconds(4));
-    CHECK(leaving.keeper->isStopped());
-    CHECK(cluster.believers("domain/kgl-a").size() == 1);
-    CHECK(cluster.mostBelievers == 1);
+    CHECK(stopping.manager->isStopped());
+    CHECK(cluster.holdersOf("domain/kgl-a").size() == 1);
+    CHECK(cluster.maxHolders == 1);
 }
 
-// Every third answer to a write is lost after the write took effect. A holder that simply tried
-// again would fail against its own write and give up a duty that it holds, so that duties wander.
-TEST_CASE("lost answers neither move a duty nor make two holders")
+// Every third reply to a write is lost after the write took effect. A holder that simply retried
+// would conflict with its own write and give up a duty that it holds, so that duties would move
+// without need.
+TEST_CASE("lost replies neither move a duty nor lead to two holders")
 {
     Cluster cluster;
-    std::size_t writeAnswers = 0;
+    std::size_t writeReplies = 0;
     cluster.network.setHook([&](const FakeMessage &message) {
         MessageFate fate;
-        const bool isWriteAnswer = message.leg == MessageLeg::Reply && message.operation == "put";
-        fate.lost = isWriteAnswer && ++writeAnswers % 3 == 0;
+        const bool isWriteReply = message.leg == MessageLeg::Reply && message.operation == "put";
+        fate.lost = isWriteReply && ++writeReplies % 3 == 0;
         return fate;
     });
     for (const char *name : {"a", "b", "c"})
@@ -174,14 +177,14 @@
     cluster.run(Millis::seconds(20));
     const FenceNumber before = cluster.fence("domain/kgl-a");
     cluster.run(Millis::minutes(2));
-    CHECK(cluster.mostBelievers == 1);
+    CHECK(cluster.maxHolders == 1);
     CHECK(cluster.fence("domain/kgl-a") == before);
-    CHECK(!cluster.fenceFell);
+    CHECK(!cluster.fenceDecreased);
 }
 
-// The platform's store is out for an hour. Every lease lapses; when the store returns, hundreds
-// of instances must not all call in the same second and bring it down again.
-TEST_CASE("an outage of an hour ends all belief, and the return is spread out")
+// The platform's store is down for an hour. Every lease expires; when the store returns, hundreds
+// of instances must not all call in the same second and overload it again.
+TEST_CASE("an outage of an hour ends all authority, and the calls after it are spread out")
 {
     Cluster cluster;
     cluster.duties.clear();
@@ -191,13 +194,13 @@
         cluster.start("i" + std::to_string(i));
     cluster.run(Millis::seconds(20));
     cluster.network.setDown("store", true);
-    cluster.tickEvery = Millis(500);
+    cluster.tickInterval = Millis(500);
     cluster.run(Millis::minutes(60));
-    cluster.tickEvery = Millis(50);
-    std::size_t believers = 0;
+    cluster.tickInterval = Millis(50);
+    std::size_t holders = 0;
     for (const std::string &duty : cluster.duties)
-        believers += cluster.believers(duty).size();
-    CHECK(believers == 0);
+        holders += cluster.holdersOf(duty).size();
+    CHECK(holders == 0);
 
     const StoreCallCounts before = cluster.store.counts();
     cluster.network.setDown("store", false);
@@ -207,12 +210,12 @@
     cluster.run(Millis::seconds(20));
     for (const std::string &duty : cluster.duties) {
         INFO(duty);
-        CHECK(cluster.believers(duty).size() == 1);
+        CHECK(cluster.holdersOf(duty).size() == 1);
     }
-    CHECK(cluster.mostBelievers == 1);
+    CHECK(cluster.maxHolders == 1);
 }
 
-TEST_CASE("duties are spread, also over instances that come later")
+TEST_CASE("duties are balanced, also over instances that join later")
 {
     Cluster cluster;
     cluster.duties.clear();
@@ -221,7 +224,7 @@
     cluster.start("a");
     cluster.run(Millis::seconds(10));
     CHECK(cluster.nodes.begin()
-              ->second.keeper
+              ->second.manager
               ->held(cluster.scheduler.now() + cluster.nodes.begin()->second.clockOffset)
               .size()
           == 12);
@@ -231,14 +234,14 @@
     for (const auto &entry : cluster.nodes) {
         const Node &node = entry.second;
         INFO(entry.first);
-        CHECK(node.keeper->held(cluster.scheduler.now() + node.clockOffset).size() <= 4);
+        CHECK(node.manager->held(cluster.scheduler.now() + node.clockOffset).size() <= 4);
     }
-    CHECK(cluster.mostBelievers == 1);
+    CHECK(cluster.maxHolders == 1);
 }
 
-// What the platform is asked for must not grow with the fleet, or its rates are used up by
-// instances that merely look on.
-TEST_CASE("the store's load follows the duties, not the instances")
+// The load on the platform must not grow with the number of instances, or its rate limits are used
+// up by instances that hold no duty.
+TEST_CASE("the load on the store grows with the duties, not with the instances")
 {
     Cluster cluster;
     cluster.duties.clear();
@@ -256,9 +259,9 @@
     CHECK(after.watches == 0);
 }
 
-// Each guard keeps two instances from believing at the same time. With it switched off the very
-// failure it is there for must show, or nothing proves that it is needed.
-TEST_CASE("without its guards a lease is held by two")
+// Each guard prevents two instances from holding the lease at the same time. With the guard
+// disabled this failure must occur, or nothing proves that the guard is needed.
+TEST_CASE("without the guards a lease has two holders")
 {
     struct Row
     {
@@ -286,15 +289,15 @@
         cluster.start("b");
         cluster.start("c");
         cluster.run(Millis::seconds(30));
-        CHECK(cluster.mostBelievers > 1);
+        CHECK(cluster.maxHolders > 1);
     }
 }
 
-// The answer to a renewal takes almost the whole term to come back, and the next ones are lost. A
-// holder that counted from the answer would go on believing while its successor already acts.
-TEST_CASE("a slow answer shortens the lease, and counting from the answer would not")
+// The reply to a renewal takes almost the whole term, and the next ones are lost. A holder that
+// counted from the reply would still consider the lease valid while its successor already acts.
+TEST_CASE("a slow reply shortens the lease, and without the guard leads to two holders")
 {
-    const auto believers = [](std::uint64_t seed) {
+    const auto maxHoldersWithSeed = [](std::uint64_t seed) {
         Cluster cluster(seed);
         cluster.start("a");
         cluster.run(Millis::seconds(6));
@@ -312,35 +315,35 @@
             return fate;
         });
         cluster.run(Millis::seconds(20));
-        return cluster.mostBelievers;
+        return cluster.maxHolders;
     };
-    const auto most = [&] {
+    const auto maxHoldersOverSeeds = [&] {
         std::size_t found = 0;
         for (std::uint64_t seed = 1; seed <= 20; ++seed)
-            found = std::max(found, believers(seed));
+            found = std::max(found, maxHoldersWithSeed(seed));
         return found;
     };
-    CHECK(most() == 1);
+    CHECK(maxHoldersOverSeeds() == 1);
     DisabledGuard disabled(Guard::LeaseCountedFromSend);
-    CHECK(most() == 2);
+    CHECK(maxHoldersOverSeeds() == 2);
 }
 
-// A restarted instance has its former life's name. The former life may be paused, not dead; its
-// lease is waited out like anyone's.
-TEST_CASE("a new life of the same instance waits for the former one's lease")
+// A restarted instance has the name of its previous incarnation, which may be paused rather than
+// dead; the new one waits for the previous lease to expire like any other instance.
+TEST_CASE("a new incarnation of an instance waits for the lease of the previous one to expire")
 {
     Cluster cluster;
     cluster.start("a", 1);
     cluster.run(Millis::seconds(6));
     cluster.start("a", 2);
     cluster.run(Millis::seconds(20));
-    CHECK(cluster.mostBelievers == 1);
-    CHECK(cluster.believers("domain/kgl-a") == std::vector<std::string>{"a/1"});
+    CHECK(cluster.maxHolders == 1);
+    CHECK(cluster.holdersOf("domain/kgl-a") == std::vector<std::string>{"a/1"});
 }
 
-// A read that lags shows an older holder, or no lease at all. Acting on it must not put the fence
-// back nor take the duty from its holder.
-TEST_CASE("lagging reads move nothing")
+// A stale read shows a previous holder, or no lease at all. It must neither lower the fence nor
+// make an instance take the duty from its holder.
+TEST_CASE("stale reads neither move a duty nor lower the fence")
 {
     Cluster cluster;
     for (const char *name : {"a", "b", "c"})
@@ -350,7 +353,7 @@
         cluster.store.setReadLag(name, Millis::seconds(4));
     const FenceNumber before = cluster.fence("domain/kgl-a");
     cluster.run(Millis::minutes(1));
-    CHECK(cluster.mostBelievers == 1);
+    CHECK(cluster.maxHolders == 1);
     CHECK(cluster.fence("domain/kgl-a") == before);
-    CHECK(!cluster.fenceFell);
+    CHECK(!cluster.fenceDecreased);
 }
--- a/modules/lease/record/LeaseRecord.h
+++ b/modules/lease/record/LeaseRecord.h
@@ -10,27 +10,27 @@
 
 namespace cuminrail {
 
-/** The value of an object "leases/<duty>". */
+/** The value of the object "leases/<duty>". */
 struct LeaseRecord
 {
-    /** Empty when the last holder has handed the duty over. */
+    /** Empty when the last holder has released the duty. */
     InstanceId holder;
     Incarnation incarnation = 0;
     FenceNumber fence = 0;
-    /** How long the lease is good for, counted by each reader on its own clock. */
+    /** Validity of the lease, measured by each reader on its own clock. */
     Millis term;
-    /** Unique for each write, so that a writer whose answer was lost recognises its own. */
+    /** Unique for each write, so that a writer whose reply was lost recognises its own write. */
     std::string token;
 
     bool isReleased() const { return holder.isEmpty(); }
-    bool isHeldBy(const InstanceId &instance, Incarnation life) const
+    bool isHeldBy(const InstanceId &instance, Incarnation ownIncarnation) const
     {
-        return holder == instance && incarnation == life;
+        return holder == instance && incarnation == ownIncarnation;
     }
 
-    /** Returns the JSON text that the store keeps. */
+    /** Returns the JSON text to store. */
     std::string toText() const;
-    /** Reads what the store keeps; nothing, with a reason, when it is no lease. */
+    /** Parses a stored text. Returns nothing, with a reason, if it is not a valid lease. */
     static std::optional<LeaseRecord> fromText(const std::string &text, Reason *lastReason);
 };
 
--- a/modules/lease/spread/DutySpread.cpp
+++ b/modules/lease/spread/DutySpread.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** FNV-1a with a final mix: the same on every machine, unlike std::hash. */
+/** FNV-1a with a final mix: gives the same result on every machine, unlike std::hash. */
 std::uint64_t weight(const std::string &duty, const InstanceId &instance)
 {
     std::uint64_t hash = 1469598103934665603ULL;
