--- a/modules/dispatch/claims/ClaimKeeper.cpp
+++ b/modules/dispatch/claims/ClaimKeeper.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr Millis storeRetry{100};
-constexpr std::size_t maxSightings = 10000;
+constexpr Millis storeRetryInterval{100};
+constexpr std::size_t maxObservations = 10000;
 
 std::string pathOf(const ClaimRequest &request)
 {
@@ -21,7 +21,7 @@
 } // namespace
 
 /** A call that waits for its decision, or runs under its claim. */
-struct ClaimKeeper::Begin
+struct ClaimKeeper::ClaimAttempt
 {
     ClaimRequest request;
     std::string path;
@@ -30,26 +30,29 @@
     Millis retryAt = Millis::never();
     ObjectVersion expected = 0;
     ObjectVersion version = 0;
-    /** A write went out whose effect is not known; the claim may be in the store as ours. */
+    /** A write was sent whose effect is unknown; the store may hold this claim. */
     bool mayBeWritten = false;
 };
 
-/** The end of a run on its way into the store. */
-struct ClaimKeeper::End
+/** An outcome that is being written to the store. */
+struct ClaimKeeper::OutcomeWrite
 {
     std::string path;
     ClaimRecord record;
     ObjectVersion expected = 0;
     Millis retryAt{0};
     bool inFlight = false;
-    /** The first claim's write had no answer, so the version has to be read before writing. */
+    /**
+        The reply to the write of the claim was lost, so the version has to be read before the next
+        write.
+    */
     bool versionUnknown = false;
 };
 
 ClaimKeeper::ClaimKeeper(Config config, ObjectStore store, RandomHook random, EventSink events,
-                         GoneHook isGone)
+                         GoneHook hasEnded)
     : config_(std::move(config)), store_(std::move(store)), random_(std::move(random)),
-      events_(std::move(events)), isGone_(std::move(isGone))
+      events_(std::move(events)), hasEnded_(std::move(hasEnded))
 { }
 
 ClaimKeeper::~ClaimKeeper()
@@ -59,291 +62,307 @@
 
 void ClaimKeeper::begin(const ClaimRequest &request, Completion completion)
 {
-    auto begin = std::make_shared<Begin>();
-    begin->request = request;
-    begin->path = pathOf(request);
-    begin->token = newToken();
-    begin->completion = std::move(completion);
-    begins_[begin->token] = begin;
-    // Without a claim in the store two instances would both send a lodging that its caller
-    // repeated at the second one after a silence of the first.
+    auto attempt = std::make_shared<ClaimAttempt>();
+    attempt->request = request;
+    attempt->path = pathOf(request);
+    attempt->token = newToken();
+    attempt->completion = std::move(completion);
+    waitingAttempts_[attempt->token] = attempt;
+    // Without a claim in the store two instances would both send a filing that its caller repeated
+    // at the second one after the first did not respond.
     if (!guardEnabled(Guard::ClaimBeforeDispatch)) {
-        answer(begin, {ClaimDecision::Run, begin->token, {}, {}});
+        complete(attempt, {ClaimDecision::Run, attempt->token, {}, {}});
         return;
     }
-    writeClaim(begin, 0);
+    writeClaim(attempt, 0);
 }
 
-void ClaimKeeper::writeClaim(const std::shared_ptr<Begin> &begin, ObjectVersion expected)
+void ClaimKeeper::writeClaim(const std::shared_ptr<ClaimAttempt> &attempt, ObjectVersion expected)
 {
-    begin->expected = expected;
-    begin->retryAt = Millis::never();
-    const StorePut put{begin->path, recordOf(*begin).toText(), expected};
-    store_.put(put, [this, alive = alive_, begin](const StoreReply &reply) {
+    attempt->expected = expected;
+    attempt->retryAt = Millis::never();
+    const StorePut put{attempt->path, recordOf(*attempt).toText(), expected};
+    store_.put(put, [this, alive = alive_, attempt](const StoreReply &reply) {
         if (*alive)
-            onClaimWritten(begin, reply);
+            onClaimWritten(attempt, reply);
     });
 }
 
-void ClaimKeeper::onClaimWritten(const std::shared_ptr<Begin> &begin, const StoreReply &reply)
+void ClaimKeeper::onClaimWritten(const std::shared_ptr<ClaimAttempt> &attempt,
+                                 const StoreReply &reply)
 {
     if (reply.status == StoreStatus::Ok) {
-        begin->version = reply.version;
-        begin->mayBeWritten = true;
+        attempt->version = reply.version;
+        attempt->mayBeWritten = true;
     } else if (reply.status == StoreStatus::Unknown) {
-        begin->mayBeWritten = true;
+        attempt->mayBeWritten = true;
     }
-    if (!isWaiting(*begin)) {
-        settleLate(begin);
+    if (!isWaiting(*attempt)) {
+        settleAsNotRun(attempt);
         return;
     }
     if (reply.status == StoreStatus::Ok) {
-        answer(begin, {ClaimDecision::Run, begin->token, {}, {}});
+        complete(attempt, {ClaimDecision::Run, attempt->token, {}, {}});
         return;
     }
     if (reply.status == StoreStatus::Unavailable) {
-        retryLater(begin);
+        scheduleRetry(attempt);
         return;
     }
-    // Unknown: the write may have taken effect and only its answer is lost. A blind second try
-    // would then meet our own claim and take it for somebody else's; the token tells.
-    readClaim(begin);
+    // Unknown: the write may have taken effect with only its reply lost. A blind retry would then
+    // find its own claim and take it for that of another instance; the token tells them apart.
+    readClaim(attempt);
 }
 
-void ClaimKeeper::readClaim(const std::shared_ptr<Begin> &begin)
+void ClaimKeeper::readClaim(const std::shared_ptr<ClaimAttempt> &attempt)
 {
-    store_.get(begin->path, [this, alive = alive_, begin](const StoreReply &reply) {
+    store_.get(attempt->path, [this, alive = alive_, attempt](const StoreReply &reply) {
         if (*alive)
-            onClaimRead(begin, reply);
+            onClaimRead(attempt, reply);
     });
 }
 
-void ClaimKeeper::onClaimRead(const std::shared_ptr<Begin> &begin, const StoreReply &reply)
+void ClaimKeeper::onClaimRead(const std::shared_ptr<ClaimAttempt> &attempt, const StoreReply &reply)
 {
-    if (!isWaiting(*begin)) {
-        settleLate(begin);
+    if (!isWaiting(*attempt)) {
+        settleAsNotRun(attempt);
         return;
     }
     if (reply.status == StoreStatus::NotFound) {
-        writeClaim(begin, 0);
+        writeClaim(attempt, 0);
         return;
     }
     if (reply.status != StoreStatus::Ok || reply.objects.empty()) {
-        retryLater(begin);
+        scheduleRetry(attempt);
         return;
     }
     Reason reason;
     const auto record = ClaimRecord::fromText(reply.objects.front().value, &reason);
     if (!record) {
-        // Something else wrote there. Whether the call ran cannot be known, so it is not sent.
-        answer(begin, {ClaimDecision::MayHaveRun, "", {}, reason});
+        // Something else wrote this object. Whether the call ran cannot be known, so it is not
+        // sent.
+        complete(attempt, {ClaimDecision::MayHaveRun, "", {}, reason});
         return;
     }
-    judgeExisting(begin, *record, reply.objects.front().version);
+    evaluateExisting(attempt, *record, reply.objects.front().version);
 }
 
-void ClaimKeeper::judgeExisting(const std::shared_ptr<Begin> &begin, const ClaimRecord &record,
-                                ObjectVersion version)
+void ClaimKeeper::evaluateExisting(const std::shared_ptr<ClaimAttempt> &attempt,
+                                   const ClaimRecord &record, ObjectVersion version)
 {
-    if (record.token == begin->token) {
-        begin->version = version;
-        answer(begin, {ClaimDecision::Run, begin->token, {}, {}});
+    if (record.token == attempt->token) {
+        attempt->version = version;
+        complete(attempt, {ClaimDecision::Run, attempt->token, {}, {}});
         return;
     }
-    if (record.requestSha256 != begin->request.requestSha256) {
-        answer(begin, {ClaimDecision::KeyReused, "", {}, {begin->path, "other request"}});
+    if (record.requestSha256 != attempt->request.requestSha256) {
+        complete(attempt,
+                 {ClaimDecision::KeyReused,
+                  "",
+                  {},
+                  {attempt->path, "the key was used for another request"}});
         return;
     }
     switch (record.state) {
     case ClaimState::NotRun:
-        writeClaim(begin, version);
+        writeClaim(attempt, version);
         return;
     case ClaimState::Done:
-        answer(begin,
-               {record.answer.complete ? ClaimDecision::Replay : ClaimDecision::RanUnstored,
-                "",
-                record.answer,
-                {}});
+        complete(attempt,
+                 {record.answer.complete ? ClaimDecision::Replay : ClaimDecision::RanUnstored,
+                  "",
+                  record.answer,
+                  {}});
         return;
     case ClaimState::MayHaveRun:
-        answer(begin, {ClaimDecision::MayHaveRun, "", {}, {begin->path, "unknown end"}});
+        complete(attempt,
+                 {ClaimDecision::MayHaveRun,
+                  "",
+                  {},
+                  {attempt->path, "the outcome of an earlier run is unknown"}});
         return;
     case ClaimState::Claimed:
-        answer(begin, {judgeClaimed(begin->path, record, version), "", {}, {}});
+        complete(attempt, {evaluateClaimed(attempt->path, record, version), "", {}, {}});
         return;
     }
 }
 
-ClaimDecision ClaimKeeper::judgeClaimed(const std::string &path, const ClaimRecord &record,
-                                        ObjectVersion version)
+ClaimDecision ClaimKeeper::evaluateClaimed(const std::string &path, const ClaimRecord &record,
+                                           ObjectVersion version)
 {
-    const bool isOwnLife =
+    const bool isOwnIncarnation =
         record.instance == config_.instance && record.incarnation == config_.incarnation;
-    if (!isOwnLife && isGone_(record.instance, record.incarnation))
+    if (!isOwnIncarnation && hasEnded_(record.instance, record.incarnation))
         return ClaimDecision::MayHaveRun;
-    // Neither answer lets the call run again, so a wrong guess here harms nobody; it only decides
-    // whether the caller is told to ask again or to check by other means.
-    if (sightings_.size() >= maxSightings)
-        sightings_.clear();
-    Sighting &sighting = sightings_[path];
-    if (sighting.version != version)
-        sighting = {version, now_};
-    const bool isAbandoned = now_ - sighting.firstSeen >= config_.abandonedAfter;
+    // Neither decision lets the call run again, so a wrong one does no harm; it only determines
+    // whether the caller is told to retry or to check by other means.
+    if (observations_.size() >= maxObservations)
+        observations_.clear();
+    Observation &observation = observations_[path];
+    if (observation.version != version)
+        observation = {version, now_};
+    const bool isAbandoned = now_ - observation.firstSeen >= config_.abandonTimeout;
     return isAbandoned ? ClaimDecision::MayHaveRun : ClaimDecision::InProgress;
 }
 
-void ClaimKeeper::retryLater(const std::shared_ptr<Begin> &begin)
+void ClaimKeeper::scheduleRetry(const std::shared_ptr<ClaimAttempt> &attempt)
 {
-    begin->retryAt = now_ + storeRetry;
+    attempt->retryAt = now_ + storeRetryInterval;
 }
 
-bool ClaimKeeper::isWaiting(const Begin &begin) const
+bool ClaimKeeper::isWaiting(const ClaimAttempt &attempt) const
 {
-    return begins_.count(begin.token) > 0;
+    return waitingAttempts_.count(attempt.token) > 0;
 }
 
-void ClaimKeeper::answer(const std::shared_ptr<Begin> &begin, const ClaimResult &result)
+void ClaimKeeper::complete(const std::shared_ptr<ClaimAttempt> &attempt, const ClaimResult &result)
 {
-    begins_.erase(begin->token);
+    waitingAttempts_.erase(attempt->token);
     if (result.decision == ClaimDecision::Run)
-        running_[begin->token] = begin;
+        running_[attempt->token] = attempt;
     else
-        settleLate(begin);
-    const Completion completion = std::move(begin->completion);
+        settleAsNotRun(attempt);
+    const Completion completion = std::move(attempt->completion);
     completion(result);
 }
 
-void ClaimKeeper::settleLate(const std::shared_ptr<Begin> &begin)
+void ClaimKeeper::settleAsNotRun(const std::shared_ptr<ClaimAttempt> &attempt)
 {
-    // The caller was told that its call did not run, and that is true. A claim left standing would
-    // belie it: the caller's next repeat would hear "in progress" and then "may have run" of a
-    // lodging that nobody ever sent.
-    const bool isSettled = ends_.count(begin->token) > 0;
-    if (!begin->mayBeWritten || isSettled)
+    // The caller was told that its call did not run, and that is true. A remaining claim would
+    // contradict it: the next duplicate would be answered "in progress" and then "may have run" for
+    // a filing that was never sent.
+    const bool isSettled = pendingOutcomes_.count(attempt->token) > 0;
+    if (!attempt->mayBeWritten || isSettled)
         return;
-    running_[begin->token] = begin;
-    finish(begin->token, {Verdict::NotRun, {}});
+    running_[attempt->token] = attempt;
+    finish(attempt->token, {Verdict::NotRun, {}});
 }
 
 void ClaimKeeper::finish(const std::string &token, const ClaimOutcome &outcome)
 {
-    const auto position = running_.find(token);
-    if (position == running_.end())
+    const auto running = running_.find(token);
+    if (running == running_.end())
         return;
-    const std::shared_ptr<Begin> begin = position->second;
-    running_.erase(position);
+    const std::shared_ptr<ClaimAttempt> attempt = running->second;
+    running_.erase(running);
 
-    auto end = std::make_shared<End>();
-    end->path = begin->path;
-    end->record = recordOf(*begin);
-    end->expected = begin->version;
-    end->versionUnknown = begin->version == 0;
+    auto outcomeWrite = std::make_shared<OutcomeWrite>();
+    outcomeWrite->path = attempt->path;
+    outcomeWrite->record = recordOf(*attempt);
+    outcomeWrite->expected = attempt->version;
+    outcomeWrite->versionUnknown = attempt->version == 0;
     switch (outcome.verdict) {
     case Verdict::NotRun:
-        end->record.state = ClaimState::NotRun;
+        outcomeWrite->record.state = ClaimState::NotRun;
         break;
     case Verdict::MayHaveRun:
-        end->record.state = ClaimState::MayHaveRun;
+        outcomeWrite->record.state = ClaimState::MayHaveRun;
         break;
     case Verdict::Ran:
-        end->record.state = ClaimState::Done;
-        end->record.answer = outcome.answer;
+        outcomeWrite->record.state = ClaimState::Done;
+        outcomeWrite->record.answer = outcome.answer;
         break;
     }
-    const bool isTooLarge = outcome.answer.body.size() > maxStoredBody;
-    if (isTooLarge || ends_.size() >= config_.maxPendingBodies) {
-        end->record.answer.body.clear();
-        end->record.answer.complete = false;
+    const bool isTooLarge = outcome.answer.body.size() > maxStoredBodyBytes;
+    if (isTooLarge || pendingOutcomes_.size() >= config_.maxPendingBodies) {
+        outcomeWrite->record.answer.body.clear();
+        outcomeWrite->record.answer.complete = false;
         events_({&events::claimAnswerNotStored,
-                 {{"customer", begin->request.customer.text()},
+                 {{"customer", attempt->request.customer.text()},
                   {"bytes", std::to_string(outcome.answer.body.size())}}});
     }
-    ends_[token] = end;
-    writeEnd(end);
+    pendingOutcomes_[token] = outcomeWrite;
+    writeOutcome(outcomeWrite);
 }
 
-void ClaimKeeper::writeEnd(const std::shared_ptr<End> &end)
+void ClaimKeeper::writeOutcome(const std::shared_ptr<OutcomeWrite> &outcomeWrite)
 {
-    end->inFlight = true;
-    end->retryAt = now_ + config_.writeRetry;
-    if (end->versionUnknown) {
-        store_.get(end->path, [this, alive = alive_, end](const StoreReply &reply) {
-            if (*alive)
-                onEndRead(end, reply);
-        });
+    outcomeWrite->inFlight = true;
+    outcomeWrite->retryAt = now_ + config_.writeRetryInterval;
+    if (outcomeWrite->versionUnknown) {
+        store_.get(outcomeWrite->path,
+                   [this, alive = alive_, outcomeWrite](const StoreReply &reply) {
+                       if (*alive)
+                           onOutcomeRead(outcomeWrite, reply);
+                   });
         return;
     }
-    const StorePut put{end->path, end->record.toText(), end->expected};
-    store_.put(put, [this, alive = alive_, end](const StoreReply &reply) {
+    const StorePut put{outcomeWrite->path, outcomeWrite->record.toText(), outcomeWrite->expected};
+    store_.put(put, [this, alive = alive_, outcomeWrite](const StoreReply &reply) {
         if (!*alive)
             return;
-        end->inFlight = false;
+        outcomeWrite->inFlight = false;
         if (reply.status == StoreStatus::Ok)
-            ends_.erase(end->record.token);
+            pendingOutcomes_.erase(outcomeWrite->record.token);
         else if (reply.status != StoreStatus::Unavailable)
-            end->versionUnknown = true;
+            outcomeWrite->versionUnknown = true;
     });
 }
 
-void ClaimKeeper::onEndRead(const std::shared_ptr<End> &end, const StoreReply &reply)
+void ClaimKeeper::onOutcomeRead(const std::shared_ptr<OutcomeWrite> &outcomeWrite,
+                                const StoreReply &reply)
 {
-    end->inFlight = false;
+    outcomeWrite->inFlight = false;
     if (reply.status != StoreStatus::Ok && reply.status != StoreStatus::NotFound)
         return;
     if (reply.objects.empty()) {
-        // The claim's own write was lost, or is late. Creating the object in its final state
-        // settles both: a late claim then fails its condition.
-        end->expected = 0;
-        end->versionUnknown = false;
+        // The write of the claim was lost or is delayed. Creating the object in its final state
+        // settles both: the condition of a delayed write then fails.
+        outcomeWrite->expected = 0;
+        outcomeWrite->versionUnknown = false;
         return;
     }
     const StoreObject &object = reply.objects.front();
     const auto record = ClaimRecord::fromText(object.value, nullptr);
-    const bool isOurs = record && record->token == end->record.token;
-    if (!isOurs || record->state == end->record.state) {
-        ends_.erase(end->record.token);
+    const bool isOwn = record && record->token == outcomeWrite->record.token;
+    if (!isOwn || record->state == outcomeWrite->record.state) {
+        pendingOutcomes_.erase(outcomeWrite->record.token);
         return;
     }
-    end->expected = object.version;
-    end->versionUnknown = false;
-    writeEnd(end);
+    outcomeWrite->expected = object.version;
+    outcomeWrite->versionUnknown = false;
+    writeOutcome(outcomeWrite);
 }
 
 void ClaimKeeper::tick(Millis now)
 {
     now_ = now;
-    std::vector<std::shared_ptr<Begin>> overdue;
-    std::vector<std::shared_ptr<Begin>> due;
-    for (const auto &[token, begin] : begins_) {
-        if (now >= begin->request.deadline)
-            overdue.push_back(begin);
-        else if (now >= begin->retryAt)
-            due.push_back(begin);
+    std::vector<std::shared_ptr<ClaimAttempt>> overdue;
+    std::vector<std::shared_ptr<ClaimAttempt>> due;
+    for (const auto &[token, attempt] : waitingAttempts_) {
+        if (now >= attempt->request.deadline)
+            overdue.push_back(attempt);
+        else if (now >= attempt->retryAt)
+            due.push_back(attempt);
     }
-    for (const auto &begin : overdue)
-        answer(begin, {ClaimDecision::Unavailable, "", {}, {"store", "no answer in time"}});
-    for (const auto &begin : due) {
-        begin->retryAt = Millis::never();
-        readClaim(begin);
+    for (const auto &attempt : overdue)
+        complete(attempt,
+                 {ClaimDecision::Unavailable,
+                  "",
+                  {},
+                  {"store", "did not answer within the deadline of the call"}});
+    for (const auto &attempt : due) {
+        attempt->retryAt = Millis::never();
+        readClaim(attempt);
     }
 
-    std::vector<std::shared_ptr<End>> unwritten;
-    for (const auto &[token, end] : ends_) {
-        if (!end->inFlight && now >= end->retryAt)
-            unwritten.push_back(end);
+    std::vector<std::shared_ptr<OutcomeWrite>> unwritten;
+    for (const auto &[token, outcomeWrite] : pendingOutcomes_) {
+        if (!outcomeWrite->inFlight && now >= outcomeWrite->retryAt)
+            unwritten.push_back(outcomeWrite);
     }
-    for (const auto &end : unwritten)
-        writeEnd(end);
+    for (const auto &outcomeWrite : unwritten)
+        writeOutcome(outcomeWrite);
 }
 
-ClaimRecord ClaimKeeper::recordOf(const Begin &begin) const
+ClaimRecord ClaimKeeper::recordOf(const ClaimAttempt &attempt) const
 {
     ClaimRecord record;
     record.state = ClaimState::Claimed;
-    record.token = begin.token;
+    record.token = attempt.token;
     record.instance = config_.instance;
     record.incarnation = config_.incarnation;
-    record.requestSha256 = begin.request.requestSha256;
+    record.requestSha256 = attempt.request.requestSha256;
     return record;
 }
 
--- a/modules/dispatch/claims/ClaimKeeper.h
+++ b/modules/dispatch/claims/ClaimKeeper.h
@@ -15,21 +15,21 @@
 
 namespace cuminrail {
 
-/** What a caller's call with an Idempotency-Key may do now. */
+/** What happens to a call with an Idempotency-Key. */
 enum class ClaimDecision : std::uint8_t {
-    /** The call is claimed: send it once, then tell ClaimKeeper::finish() how it ended. */
+    /** The call is claimed: send it once, then report the result with ClaimManager::finish(). */
     Run,
-    /** It ran before: give the stored answer. */
+    /** It ran before: return the stored response. */
     Replay,
-    /** It ran before, but its answer was too large to be stored. */
+    /** It ran before, but its response was too large to be stored. */
     RanUnstored,
-    /** Another run of the same call goes on, as far as anyone knows. */
+    /** Another run of the same call is in progress, as far as known. */
     InProgress,
-    /** An earlier run ended in the dark. */
+    /** An earlier run ended with an unknown outcome. */
     MayHaveRun,
     /** The key was used for another request. */
     KeyReused,
-    /** The store could not be asked, or not in time. Not sent. */
+    /** The store did not answer, or not in time. The call was not sent. */
     Unavailable,
 };
 
@@ -43,7 +43,7 @@
     {ClaimDecision::Unavailable, "unavailable"},
 }}};
 
-/** A call that wants to run at most once. */
+/** A call that must run at most once. */
 struct ClaimRequest
 {
     CustomerId customer;
@@ -51,37 +51,38 @@
     std::string keySha256;
     /** Lower-case hexadecimal SHA-256 of method, path and body. */
     std::string requestSha256;
-    /** When the caller is told Unavailable at the latest. */
+    /** The time at which the decision is Unavailable at the latest. */
     Millis deadline = Millis::never();
 };
 
-/** The decision; the answer is set for Replay alone. */
+/** The decision; the response is set for Replay only. */
 struct ClaimResult
 {
     ClaimDecision decision = ClaimDecision::Unavailable;
-    /** Names the claim for finish(); set for Run alone. */
+    /** Identifies the claim for finish(); set for Run only. */
     std::string token;
     StoredAnswer answer;
     Reason lastReason;
 };
 
-/** How a claimed run ended. */
+/** The outcome of a claimed run. */
 struct ClaimOutcome
 {
     Verdict verdict = Verdict::MayHaveRun;
-    /** Kept when the verdict is Ran. */
+    /** Stored when the verdict is Ran. */
     StoredAnswer answer;
 };
 
 /**
-    Lets a non-repeatable call run at most once, wherever and however often it is repeated.
+    Lets a non-repeatable call run at most once, however often and at whichever instance it is
+    repeated.
 
-    A call is claimed in the platform's store, by creating an object, before it is sent. Two
-    instances cannot both create it, so only one sends. The claim's end is written afterwards; the
-    caller does not wait for that. While the store is out, new claims are refused as not run, and
-    ends of runs are kept and written when it is back.
+    A call is claimed by creating an object in the platform's store before it is sent. Two instances
+    cannot both create it, so only one sends the call. The outcome is written to the claim
+    afterwards; the caller does not wait for that. While the store is down, new calls are refused as
+    not run, and outcomes are queued and written when it is available again.
 
-    Runs on one thread. Time comes in by tick().
+    Not thread-safe. tick() supplies the time.
 
     @see ClaimRecord
 */
@@ -90,83 +91,95 @@
 public:
     using Completion = std::function<void(const ClaimResult &)>;
 
-    /** Says whether an instance's life is known to be over; false when it is not known. */
+    /**
+        Returns whether an incarnation of an instance is known to have ended; false when that is not
+        known.
+    */
     using GoneHook = std::function<bool(const InstanceId &, Incarnation)>;
 
     struct Config
     {
         InstanceId instance;
         Incarnation incarnation = 0;
-        /** After this long in the same state a foreign claim counts as abandoned. */
-        Millis abandonedAfter = Millis::minutes(2);
-        /** Pause between tries to write the end of a run. */
-        Millis writeRetry = Millis(500);
-        /** Ends of runs that wait to be written; beyond it answers' bodies are dropped. */
+        /** A claim of another instance counts as abandoned after this time without a change. */
+        Millis abandonTimeout = Millis::minutes(2);
+        /** Interval between attempts to write an outcome. */
+        Millis writeRetryInterval = Millis(500);
+        /**
+            Maximum number of unwritten outcomes with bodies; beyond it the bodies of responses are
+            dropped.
+        */
         std::size_t maxPendingBodies = 1000;
     };
 
     ClaimKeeper(Config config, ObjectStore store, RandomHook random, EventSink events,
-                GoneHook isGone);
+                GoneHook hasEnded);
     ~ClaimKeeper();
     ClaimKeeper(const ClaimKeeper &) = delete;
     ClaimKeeper &operator=(const ClaimKeeper &) = delete;
 
-    /** Decides whether the call may run. The completion is called once, on this thread. */
+    /**
+        Decides whether the call may run. The completion is called once, on the thread that runs
+        this object.
+    */
     void begin(const ClaimRequest &request, Completion completion);
 
     /**
-        Records how the run of a claim ended. Call it exactly once for each decision Run.
+        Records the outcome of a claimed run. Call it exactly once for each decision Run.
 
-        @param token from the ClaimResult.
+        @param token from the ClaimResult
     */
     void finish(const std::string &token, const ClaimOutcome &outcome);
 
-    /** Answers overdue claims and writes pending ends again. Call every 50 ms or so. */
+    /** Completes overdue claims and retries pending writes. Call about every 50 ms. */
     void tick(Millis now);
 
-    /** Returns the number of ends of runs that are not in the store yet. */
-    std::size_t pendingWrites() const { return ends_.size(); }
+    /** Returns the number of outcomes that are not in the store yet. */
+    std::size_t pendingWrites() const { return pendingOutcomes_.size(); }
 
     /** Returns the number of calls that wait for a decision. */
-    std::size_t waitingDecisions() const { return begins_.size(); }
+    std::size_t waitingDecisions() const { return waitingAttempts_.size(); }
 
 private:
-    struct Begin;
-    struct End;
-    struct Sighting
+    struct ClaimAttempt;
+    struct OutcomeWrite;
+    struct Observation
     {
         ObjectVersion version = 0;
         Millis firstSeen{0};
     };
 
-    void writeClaim(const std::shared_ptr<Begin> &begin, ObjectVersion expected);
-    void onClaimWritten(const std::shared_ptr<Begin> &begin, const StoreReply &reply);
-    void readClaim(const std::shared_ptr<Begin> &begin);
-    void onClaimRead(const std::shared_ptr<Begin> &begin, const StoreReply &reply);
-    void judgeExisting(const std::shared_ptr<Begin> &begin, const ClaimRecord &record,
-                       ObjectVersion version);
-    ClaimDecision judgeClaimed(const std::string &path, const ClaimRecord &record,
-                               ObjectVersion version);
-    void answer(const std::shared_ptr<Begin> &begin, const ClaimResult &result);
-    bool isWaiting(const Begin &begin) const;
-    void settleLate(const std::shared_ptr<Begin> &begin);
-    void retryLater(const std::shared_ptr<Begin> &begin);
-    void writeEnd(const std::shared_ptr<End> &end);
-    void onEndRead(const std::shared_ptr<End> &end, const StoreReply &reply);
-    ClaimRecord recordOf(const Begin &begin) const;
+    void writeClaim(const std::shared_ptr<ClaimAttempt> &attempt, ObjectVersion expected);
+    void onClaimWritten(const std::shared_ptr<ClaimAttempt> &attempt, const StoreReply &reply);
+    void readClaim(const std::shared_ptr<ClaimAttempt> &attempt);
+    void onClaimRead(const std::shared_ptr<ClaimAttempt> &attempt, const StoreReply &reply);
+    void evaluateExisting(const std::shared_ptr<ClaimAttempt> &attempt, const ClaimRecord &record,
+                          ObjectVersion version);
+    ClaimDecision evaluateClaimed(const std::string &path, const ClaimRecord &record,
+                                  ObjectVersion version);
+    void complete(const std::shared_ptr<ClaimAttempt> &attempt, const ClaimResult &result);
+    bool isWaiting(const ClaimAttempt &attempt) const;
+    void settleAsNotRun(const std::shared_ptr<ClaimAttempt> &attempt);
+    void scheduleRetry(const std::shared_ptr<ClaimAttempt> &attempt);
+    void writeOutcome(const std::shared_ptr<OutcomeWrite> &outcomeWrite);
+    void onOutcomeRead(const std::shared_ptr<OutcomeWrite> &outcomeWrite, const StoreReply &reply);
+    ClaimRecord recordOf(const ClaimAttempt &attempt) const;
     std::string newToken();
 
     const Config config_;
     const ObjectStore store_;
     const RandomHook random_;
     const EventSink events_;
-    const GoneHook isGone_;
+    const GoneHook hasEnded_;
     Millis now_{0};
-    std::map<std::string, std::shared_ptr<Begin>> begins_;
-    std::map<std::string, std::shared_ptr<Begin>> running_;
-    std::map<std::string, std::shared_ptr<End>> ends_;
-    std::map<std::string, Sighting> sightings_;
-    /** Completions of store calls outlive this object; they look here before they touch it. */
+    std::map<std::string, std::shared_ptr<ClaimAttempt>> waitingAttempts_;
+    std::map<std::string, std::shared_ptr<ClaimAttempt>> running_;
+    std::map<std::string, std::shared_ptr<OutcomeWrite>> pendingOutcomes_;
+    std::map<std::string, Observation> observations_;
+    /**
+        Completions of store calls may run after this object is destroyed; they check this flag
+        first.
+    */
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/modules/dispatch/claims/ClaimKeeper_test.cpp
+++ b/modules/dispatch/claims/ClaimKeeper_test.cpp
@@ -12,14 +12,15 @@
 
 namespace {
 
-/** One instance with its claims, as in a real one but for its sockets. */
+/** One instance with its claims, as in production except for the sockets. */
 struct Instance
 {
     Instance(FakeNetwork &network, FakeObjectStore &store, const std::string &name,
              Incarnation incarnation)
         : process(std::make_shared<FakeProcess>(name)),
           claims({InstanceId(name), incarnation}, store.port(process), seededRandom(incarnation),
-                 ignoreEvents(), [this](const InstanceId &, Incarnation) { return othersAreGone; })
+                 ignoreEvents(),
+                 [this](const InstanceId &, Incarnation) { return othersHaveEnded; })
     {
         network.scheduler().every(Millis(50), [this, &network] {
             if (process->isRunning(network.scheduler().now()))
@@ -28,12 +29,12 @@
     }
 
     FakeProcessPtr process;
-    bool othersAreGone = false;
+    bool othersHaveEnded = false;
     ClaimKeeper claims;
 };
 
-/** Two instances, a store, and a lodging service that counts its runs. */
-struct World
+/** Two instances, a store, and a filing service that counts its runs. */
+struct ClaimTestBed
 {
     FakeScheduler scheduler{7};
     FakeNetwork network{scheduler};
@@ -77,7 +78,7 @@
         return (*result)->decision;
     }
 
-    /** Loses the next message of this kind, on this leg. */
+    /** Loses the next message of this operation on this leg. */
     void loseNext(const std::string &operation, MessageLeg leg)
     {
         network.setHook([operation, leg, done = false](const FakeMessage &message) mutable {
@@ -91,32 +92,32 @@
 
 } // namespace
 
-TEST_CASE("a repeat at another instance gets the stored answer")
+TEST_CASE("a duplicate at another instance gets the stored response")
 {
-    World world;
-    CHECK(world.callAndWait(world.a) == ClaimDecision::Run);
-    const auto repeat = world.call(world.b);
-    world.scheduler.runFor(Millis::seconds(1));
-    REQUIRE(repeat->has_value());
-    CHECK((*repeat)->decision == ClaimDecision::Replay);
-    CHECK((*repeat)->answer.status == 201);
-    CHECK((*repeat)->answer.body == "lodged");
-    CHECK(world.runs == 1);
+    ClaimTestBed bed;
+    CHECK(bed.callAndWait(bed.a) == ClaimDecision::Run);
+    const auto duplicate = bed.call(bed.b);
+    bed.scheduler.runFor(Millis::seconds(1));
+    REQUIRE(duplicate->has_value());
+    CHECK((*duplicate)->decision == ClaimDecision::Replay);
+    CHECK((*duplicate)->answer.status == 201);
+    CHECK((*duplicate)->answer.body == "lodged");
+    CHECK(bed.runs == 1);
 }
 
-// A paralegal presses the button twice and the balancer sends the two to different instances at
-// the same moment. Without a claim both would lodge the bundle.
-TEST_CASE("two instances asked at the same moment run the call once")
+// A user submits twice, and the load balancer sends the two calls to different instances at the
+// same moment. Without a claim both would file the bundle.
+TEST_CASE("two instances that receive the call at the same moment run it once")
 {
-    World world;
-    const auto first = world.call(world.a);
-    const auto second = world.call(world.b);
-    world.scheduler.runFor(Millis::seconds(10));
-    CHECK(world.runs == 1);
+    ClaimTestBed bed;
+    const auto first = bed.call(bed.a);
+    const auto second = bed.call(bed.b);
+    bed.scheduler.runFor(Millis::seconds(10));
+    CHECK(bed.runs == 1);
     CHECK(first->has_value());
     CHECK(second->has_value());
 
-    World unguarded;
+    ClaimTestBed unguarded;
     const DisabledGuard off(Guard::ClaimBeforeDispatch);
     unguarded.call(unguarded.a);
     unguarded.call(unguarded.b);
@@ -124,20 +125,20 @@
     CHECK(unguarded.runs == 2);
 }
 
-// The store took the claim and its answer was lost. An instance that then finds a claim and does
-// not know it for its own would tell the caller "in progress" for ever, of a lodging that nobody
+// The store stored the claim and its reply was lost. An instance that then finds a claim and does
+// not recognise it as its own would answer "in progress" for ever, for a filing that was never
 // sent.
-TEST_CASE("a claim whose answer was lost is known again and runs once")
+TEST_CASE("a claim whose reply was lost is recognised and runs once")
 {
-    World world;
-    world.loseNext("put", MessageLeg::Reply);
-    CHECK(world.callAndWait(world.a) == ClaimDecision::Run);
-    CHECK(world.runs == 1);
-    CHECK(world.callAndWait(world.b) == ClaimDecision::Replay);
-    CHECK(world.runs == 1);
+    ClaimTestBed bed;
+    bed.loseNext("put", MessageLeg::Reply);
+    CHECK(bed.callAndWait(bed.a) == ClaimDecision::Run);
+    CHECK(bed.runs == 1);
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::Replay);
+    CHECK(bed.runs == 1);
 }
 
-TEST_CASE("how the first run ended decides what a repeat hears")
+TEST_CASE("the outcome of the first run determines the decision for a duplicate")
 {
     struct Row
     {
@@ -153,119 +154,119 @@
     };
     for (const Row &row : rows) {
         INFO(claimDecisionNames.name(row.expected));
-        World world;
-        CHECK(world.callAndWait(world.a, row.verdict) == ClaimDecision::Run);
-        CHECK(world.callAndWait(world.b) == row.expected);
-        CHECK(world.runs == row.runs);
+        ClaimTestBed bed;
+        CHECK(bed.callAndWait(bed.a, row.verdict) == ClaimDecision::Run);
+        CHECK(bed.callAndWait(bed.b) == row.expected);
+        CHECK(bed.runs == row.runs);
     }
 }
 
-// A caller uses yesterday's key for today's bundle. Yesterday's answer would tell it that a bundle
-// is lodged which is not.
-TEST_CASE("a key that comes with another request is refused")
+// A caller uses yesterday's key for today's bundle. Yesterday's response would tell it that a
+// bundle was filed which was not.
+TEST_CASE("a key that is used for another request is refused")
 {
-    World world;
-    CHECK(world.callAndWait(world.a, Verdict::Ran, "bundle 12") == ClaimDecision::Run);
-    CHECK(world.callAndWait(world.b, Verdict::Ran, "bundle 13") == ClaimDecision::KeyReused);
-    CHECK(world.runs == 1);
+    ClaimTestBed bed;
+    CHECK(bed.callAndWait(bed.a, Verdict::Ran, "bundle 12") == ClaimDecision::Run);
+    CHECK(bed.callAndWait(bed.b, Verdict::Ran, "bundle 13") == ClaimDecision::KeyReused);
+    CHECK(bed.runs == 1);
 }
 
-// The instance that claimed the call dies. The caller repeats it elsewhere and must neither lodge
-// it a second time nor wait for ever for a run that is no more.
+// The instance that claimed the call dies. The caller repeats it at another one and must neither
+// file it a second time nor wait for ever for a run that no longer exists.
 TEST_CASE("a claim of a dead instance ends in may-have-run")
 {
-    World world;
-    CHECK(world.callAndWait(world.a, std::nullopt) == ClaimDecision::Run);
-    world.a.process->kill();
-    CHECK(world.callAndWait(world.b) == ClaimDecision::InProgress);
+    ClaimTestBed bed;
+    CHECK(bed.callAndWait(bed.a, std::nullopt) == ClaimDecision::Run);
+    bed.a.process->kill();
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::InProgress);
 
-    SUBCASE("as soon as its death is known")
+    SUBCASE("as soon as it is known to have ended")
     {
-        world.b.othersAreGone = true;
-        CHECK(world.callAndWait(world.b) == ClaimDecision::MayHaveRun);
+        bed.b.othersHaveEnded = true;
+        CHECK(bed.callAndWait(bed.b) == ClaimDecision::MayHaveRun);
     }
-    SUBCASE("after a while, when nothing is known of it")
+    SUBCASE("after the time-out, when its state is unknown")
     {
-        world.scheduler.runFor(Millis::minutes(2));
-        CHECK(world.callAndWait(world.b) == ClaimDecision::MayHaveRun);
+        bed.scheduler.runFor(Millis::minutes(2));
+        CHECK(bed.callAndWait(bed.b) == ClaimDecision::MayHaveRun);
     }
-    CHECK(world.runs == 1);
+    CHECK(bed.runs == 1);
 }
 
-// The store is out minutes before the filing cut-off. A lodging without a claim could run twice,
-// so it is refused, at the caller's deadline at the latest, and the refusal must be true.
-TEST_CASE("while the store is out a lodging is refused and does not run")
+// The store goes down minutes before a filing deadline. A filing without a claim could run twice,
+// so it is refused, at the deadline of the call at the latest, and must indeed not run.
+TEST_CASE("while the store is down a filing is refused and does not run")
 {
-    World world;
-    world.network.setDown("store", true);
-    CHECK(world.callAndWait(world.a) == ClaimDecision::Unavailable);
-    CHECK(world.runs == 0);
-    CHECK(world.a.claims.waitingDecisions() == 0);
+    ClaimTestBed bed;
+    bed.network.setDown("store", true);
+    CHECK(bed.callAndWait(bed.a) == ClaimDecision::Unavailable);
+    CHECK(bed.runs == 0);
+    CHECK(bed.a.claims.waitingDecisions() == 0);
 
-    world.network.setDown("store", false);
-    CHECK(world.callAndWait(world.b) == ClaimDecision::Run);
-    CHECK(world.runs == 1);
+    bed.network.setDown("store", false);
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::Run);
+    CHECK(bed.runs == 1);
 }
 
-// The store takes the claim, and then neither the answer nor any read comes through until the
-// caller has been told "not run". A claim left standing would make that a lie at the next repeat.
-TEST_CASE("a claim that was refused to its caller is settled as not run")
+// The store stores the claim, and then neither the reply nor any read arrives until the caller has
+// been told "not run". A remaining claim would contradict that for the next duplicate.
+TEST_CASE("a claim whose call was refused is settled as not run")
 {
-    World world;
-    world.network.setHook([&world](const FakeMessage &message) {
+    ClaimTestBed bed;
+    bed.network.setHook([&bed](const FakeMessage &message) {
         MessageFate fate;
-        const bool isBlackout = world.scheduler.now() < Millis::seconds(20);
-        const bool isAnswer = message.leg == MessageLeg::Reply;
-        fate.lost = isBlackout && (isAnswer || message.operation != "put");
+        const bool isBlackout = bed.scheduler.now() < Millis::seconds(20);
+        const bool isReply = message.leg == MessageLeg::Reply;
+        fate.lost = isBlackout && (isReply || message.operation != "put");
         return fate;
     });
-    CHECK(world.callAndWait(world.a) == ClaimDecision::Unavailable);
-    CHECK(world.runs == 0);
-    REQUIRE_FALSE(world.store.value("claims/chamber-north/key-hash").empty());
+    CHECK(bed.callAndWait(bed.a) == ClaimDecision::Unavailable);
+    CHECK(bed.runs == 0);
+    REQUIRE_FALSE(bed.store.value("claims/chamber-north/key-hash").empty());
 
-    world.scheduler.runFor(Millis::seconds(30));
-    CHECK(world.a.claims.pendingWrites() == 0);
-    CHECK(world.callAndWait(world.b) == ClaimDecision::Run);
-    CHECK(world.runs == 1);
+    bed.scheduler.runFor(Millis::seconds(30));
+    CHECK(bed.a.claims.pendingWrites() == 0);
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::Run);
+    CHECK(bed.runs == 1);
 }
 
-// The store goes out between a lodging and the record of its answer. The caller has its answer; a
-// repeat during the outage must not run, and after it must get the same answer.
-TEST_CASE("an answer that the store could not take is written when it is back")
+// The store goes down between a filing and the write of its response. The caller has its response;
+// a duplicate during the outage must not run, and one after it must get the same response.
+TEST_CASE("a response that could not be stored is written when the store is available again")
 {
-    World world;
-    const auto first = world.call(world.a, std::nullopt);
-    world.scheduler.runFor(Millis(100));
+    ClaimTestBed bed;
+    const auto first = bed.call(bed.a, std::nullopt);
+    bed.scheduler.runFor(Millis(100));
     REQUIRE((*first)->decision == ClaimDecision::Run);
-    world.network.setDown("store", true);
-    world.a.claims.finish((*first)->token, {Verdict::Ran, {201, "text/plain", "lodged", true}});
-    CHECK(world.callAndWait(world.b) == ClaimDecision::Unavailable);
-    CHECK(world.a.claims.pendingWrites() == 1);
+    bed.network.setDown("store", true);
+    bed.a.claims.finish((*first)->token, {Verdict::Ran, {201, "text/plain", "lodged", true}});
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::Unavailable);
+    CHECK(bed.a.claims.pendingWrites() == 1);
 
-    world.network.setDown("store", false);
-    world.scheduler.runFor(Millis::seconds(5));
-    CHECK(world.a.claims.pendingWrites() == 0);
-    CHECK(world.callAndWait(world.b) == ClaimDecision::Replay);
-    CHECK(world.runs == 1);
+    bed.network.setDown("store", false);
+    bed.scheduler.runFor(Millis::seconds(5));
+    CHECK(bed.a.claims.pendingWrites() == 0);
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::Replay);
+    CHECK(bed.runs == 1);
 }
 
-// An answer larger than the store takes cannot be kept. The repeat must learn that the call ran,
-// or its caller would send it again under another key.
-TEST_CASE("an answer too large to store still counts as run")
+// A response larger than the store accepts cannot be stored. The duplicate must learn that the call
+// ran, or its caller would send it again under another key.
+TEST_CASE("a call whose response is too large to store still counts as run")
 {
-    World world;
-    const auto first = world.call(world.a, std::nullopt);
-    world.scheduler.runFor(Millis(100));
-    const std::string body(maxStoredBody + 1, 'x');
-    world.a.claims.finish((*first)->token, {Verdict::Ran, {200, "text/plain", body, true}});
-    world.scheduler.runFor(Millis(100));
-    CHECK(world.callAndWait(world.b) == ClaimDecision::RanUnstored);
-    CHECK(world.runs == 1);
+    ClaimTestBed bed;
+    const auto first = bed.call(bed.a, std::nullopt);
+    bed.scheduler.runFor(Millis(100));
+    const std::string body(maxStoredBodyBytes + 1, 'x');
+    bed.a.claims.finish((*first)->token, {Verdict::Ran, {200, "text/plain", body, true}});
+    bed.scheduler.runFor(Millis(100));
+    CHECK(bed.callAndWait(bed.b) == ClaimDecision::RanUnstored);
+    CHECK(bed.runs == 1);
 }
 
-// Whatever message of the claim is lost, on whichever leg, and whoever repeats the call how
-// often: it runs at most once.
-TEST_CASE("any lost message leaves a call that runs at most once")
+// Whichever message of the claim is lost, on either leg, and however often the call is repeated: it
+// runs at most once.
+TEST_CASE("a call runs at most once whichever message is lost")
 {
     for (const char *operation : {"put", "get"}) {
         for (const MessageLeg leg : {MessageLeg::Request, MessageLeg::Reply}) {
@@ -273,26 +274,26 @@
                 CAPTURE(operation);
                 CAPTURE(messageLegNames.name(leg));
                 CAPTURE(skipped);
-                World world;
-                world.network.setHook([=, seen = 0](const FakeMessage &message) mutable {
+                ClaimTestBed bed;
+                bed.network.setHook([=, seen = 0](const FakeMessage &message) mutable {
                     MessageFate fate;
                     if (message.operation == operation && message.leg == leg)
                         fate.lost = seen++ == skipped;
                     return fate;
                 });
-                world.call(world.a);
-                world.call(world.b);
-                world.scheduler.runFor(Millis::seconds(10));
-                CHECK(world.runs == 1);
-                CHECK(world.callAndWait(world.a) == ClaimDecision::Replay);
-                CHECK(world.callAndWait(world.b) == ClaimDecision::Replay);
-                CHECK(world.runs == 1);
+                bed.call(bed.a);
+                bed.call(bed.b);
+                bed.scheduler.runFor(Millis::seconds(10));
+                CHECK(bed.runs == 1);
+                CHECK(bed.callAndWait(bed.a) == ClaimDecision::Replay);
+                CHECK(bed.callAndWait(bed.b) == ClaimDecision::Replay);
+                CHECK(bed.runs == 1);
             }
         }
     }
 }
 
-TEST_CASE("claim records read back byte for byte")
+TEST_CASE("claim records preserve every byte")
 {
     std::string everyByte;
     for (int byte = 0; byte < 256; ++byte)
@@ -312,16 +313,16 @@
     CHECK(read->state == ClaimState::Done);
 }
 
-// Somebody's hand or another program has written into the claims. Guessing "never ran" would risk
-// a second lodging.
-TEST_CASE("a claim that cannot be read is not run")
+// An operator or another program has written to the claims. To assume that the call never ran would
+// risk a second filing.
+TEST_CASE("a call with an unreadable claim is not run")
 {
     for (const char *text : {"", "{", "[]", "{}", R"({"state":"odd"})", R"({"state":"done"})"}) {
         INFO(text);
         CHECK_FALSE(ClaimRecord::fromText(text, nullptr).has_value());
-        World world;
-        world.store.write("claims/chamber-north/key-hash", text);
-        CHECK(world.callAndWait(world.a) == ClaimDecision::MayHaveRun);
-        CHECK(world.runs == 0);
+        ClaimTestBed bed;
+        bed.store.write("claims/chamber-north/key-hash", text);
+        CHECK(bed.callAndWait(bed.a) == ClaimDecision::MayHaveRun);
+        CHECK(bed.runs == 0);
     }
 }
--- a/modules/dispatch/claims/ClaimRecord.cpp
+++ b/modules/dispatch/claims/ClaimRecord.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-/** JSON texts hold Unicode; each byte of a body becomes the code point of the same number. */
+/** Encodes bytes as Unicode for JSON: each byte becomes the code point of the same number. */
 std::string bytesToText(const std::string &bytes)
 {
     constexpr unsigned char firstNonAscii = 0x80;
@@ -43,7 +43,7 @@
     return bytes;
 }
 
-Json answerToJson(const StoredAnswer &answer)
+Json responseToJson(const StoredAnswer &answer)
 {
     return {{"status", answer.status},
             {"content_type", bytesToText(answer.contentType)},
@@ -51,7 +51,7 @@
             {"complete", answer.complete}};
 }
 
-StoredAnswer answerFromJson(const Json &json)
+StoredAnswer responseFromJson(const Json &json)
 {
     StoredAnswer answer;
     answer.status = json.at("status").get<unsigned>();
@@ -71,7 +71,7 @@
                  {"incarnation", incarnation},
                  {"request_sha256", requestSha256}};
     if (state == ClaimState::Done)
-        json["answer"] = answerToJson(answer);
+        json["answer"] = responseToJson(answer);
     return json.dump();
 }
 
@@ -82,7 +82,7 @@
         ClaimRecord record;
         const auto state = claimStateNames.value(json.at("state").get<std::string>());
         if (!state) {
-            fail(lastReason, "/state", "is no state of a claim");
+            fail(lastReason, "/state", "is not a state of a claim");
             return std::nullopt;
         }
         record.state = *state;
@@ -91,7 +91,7 @@
         record.incarnation = json.at("incarnation").get<Incarnation>();
         record.requestSha256 = json.at("request_sha256").get<std::string>();
         if (record.state == ClaimState::Done)
-            record.answer = answerFromJson(json.at("answer"));
+            record.answer = responseFromJson(json.at("answer"));
         return record;
     } catch (const Json::exception &error) {
         fail(lastReason, "claim", error.what());
--- a/modules/dispatch/claims/ClaimRecord.h
+++ b/modules/dispatch/claims/ClaimRecord.h
@@ -10,15 +10,15 @@
 
 namespace cuminrail {
 
-/** How far the run that a claim stands for has come. */
+/** State of the run that a claim stands for. */
 enum class ClaimState : std::uint8_t {
-    /** Someone is about to send the request, is sending it, or died doing so. */
+    /** An instance is about to send the request, is sending it, or died while doing so. */
     Claimed,
-    /** It provably did not run; the next repeat may take the claim over. */
+    /** It certainly did not run; the next duplicate may take over the claim. */
     NotRun,
-    /** The outcome is unknown for good; it is never sent again. */
+    /** The outcome will never be known; the request is not sent again. */
     MayHaveRun,
-    /** It ran; the answer is stored, or was too large to be. */
+    /** It ran; the response is stored, or was too large to be. */
     Done,
 };
 
@@ -29,28 +29,31 @@
     {ClaimState::Done, "done"},
 }}};
 
-/** An answer kept for repeats of the call. */
+/** The response stored for duplicates of the call. */
 struct StoredAnswer
 {
     unsigned status = 0;
     std::string contentType;
     std::string body;
-    /** False when the body was over the limit; repeats learn that it ran, not what it said. */
+    /**
+        False when the body exceeded the limit; duplicates learn that the call ran, but not the
+        response.
+    */
     bool complete = true;
 };
 
-/** Answers with larger bodies are not stored: the store takes values of a megabyte at most. */
-inline constexpr std::size_t maxStoredBody = 256 * 1024;
+/** Responses with larger bodies are not stored: the store accepts values of a megabyte at most. */
+inline constexpr std::size_t maxStoredBodyBytes = 256 * 1024;
 
 /**
     The object "claims/<customer>/<hash of the Idempotency-Key>".
 
-    @see ClaimKeeper
+    @see ClaimManager
 */
 struct ClaimRecord
 {
     ClaimState state = ClaimState::Claimed;
-    /** Made anew for every claim, so that its writer knows its own write when it reads back. */
+    /** Unique for each claim, so that its writer recognises its own write when it reads back. */
     std::string token;
     InstanceId instance;
     Incarnation incarnation = 0;
@@ -58,10 +61,10 @@
     std::string requestSha256;
     StoredAnswer answer;
 
-    /** Returns the text to store. Bodies that are not UTF-8 are kept byte for byte. */
+    /** Returns the text to store. Bodies that are not UTF-8 are preserved byte for byte. */
     std::string toText() const;
 
-    /** Reads a stored text. Returns nothing, with a reason, for anything else. */
+    /** Parses a stored text. Returns nothing, with a reason, if it is not a valid claim. */
     static std::optional<ClaimRecord> fromText(const std::string &text, Reason *lastReason);
 };
 
--- a/modules/dispatch/dispatch.h
+++ b/modules/dispatch/dispatch.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /**
-    When a request may be sent, sent again, or not.
+    When a request may be sent, retried, or not.
 
-    Purpose: retries ruled by the verdict of the last attempt, a retry budget for the whole
+    Purpose: retries that depend on the verdict of the last attempt, a retry budget for the whole
     instance, and claims in the platform's store that let a non-repeatable call run at most once
     however often, and at whichever instance, its caller repeats it.
 
--- a/modules/dispatch/retry/RetryBudget.cpp
+++ b/modules/dispatch/retry/RetryBudget.cpp
@@ -5,26 +5,26 @@
 namespace cuminrail {
 
 RetryBudget::RetryBudget(std::int64_t retriesPerHundred, std::int64_t reserve)
-    : earnedPerAttempt_(retriesPerHundred), ceiling_(reserve * unitsPerRetry),
-      units_(reserve * unitsPerRetry)
+    : creditPerAttempt_(retriesPerHundred), maxCredit_(reserve * creditPerRetry),
+      credit_(reserve * creditPerRetry)
 { }
 
 void RetryBudget::countFirstAttempt()
 {
-    std::int64_t current = units_.load(std::memory_order_relaxed);
-    while (current < ceiling_) {
-        const std::int64_t next = std::min(ceiling_, current + earnedPerAttempt_);
-        if (units_.compare_exchange_weak(current, next, std::memory_order_relaxed))
+    std::int64_t current = credit_.load(std::memory_order_relaxed);
+    while (current < maxCredit_) {
+        const std::int64_t next = std::min(maxCredit_, current + creditPerAttempt_);
+        if (credit_.compare_exchange_weak(current, next, std::memory_order_relaxed))
             return;
     }
 }
 
-bool RetryBudget::tryTakeRetry()
+bool RetryBudget::tryAcquireRetry()
 {
-    std::int64_t current = units_.load(std::memory_order_relaxed);
-    while (current >= unitsPerRetry) {
-        if (units_.compare_exchange_weak(current, current - unitsPerRetry,
-                                         std::memory_order_relaxed))
+    std::int64_t current = credit_.load(std::memory_order_relaxed);
+    while (current >= creditPerRetry) {
+        if (credit_.compare_exchange_weak(current, current - creditPerRetry,
+                                          std::memory_order_relaxed))
             return true;
     }
     return false;
@@ -32,7 +32,7 @@
 
 std::int64_t RetryBudget::available() const
 {
-    return units_.load(std::memory_order_relaxed) / unitsPerRetry;
+    return credit_.load(std::memory_order_relaxed) / creditPerRetry;
 }
 
 } // namespace cuminrail
--- a/modules/dispatch/retry/RetryPolicy.h
+++ b/modules/dispatch/retry/RetryPolicy.h
@@ -9,18 +9,23 @@
 
 namespace cuminrail {
 
-/** What of a request matters to whether it may be sent again. */
+/** The properties of a request that determine whether it may be retried. */
 struct RetryTraits
 {
-    /** Running it twice does no harm: completions, and service calls that settings call repeatable.
-     */
+    /**
+        Running it twice does no harm: completions, and service calls marked repeatable in the
+        settings.
+    */
     bool idempotent = false;
-    /** A byte of an answer went to the caller; another attempt's answer would be mixed with it. */
+    /**
+        Part of a response has been sent to the caller; the response of another attempt would be
+        mixed with it.
+    */
     bool answerStarted = false;
-    /** When the answer is of no use any more, on this machine's clock. */
+    /** The time after which the response is of no use, on this machine's clock. */
     Millis deadline = Millis::never();
-    /** How long an attempt takes at the least; no retry starts with less time left. */
-    Millis shortestAttempt{0};
+    /** Shortest duration of an attempt; no retry starts with less time remaining. */
+    Millis minAttemptDuration{0};
     std::uint32_t attemptsMade = 1;
 };
 
@@ -28,30 +33,30 @@
     Retry,
     /** Give up: another attempt could run the request twice. */
     MayHaveRun,
-    /** Give up: part of an answer has gone out. */
-    AnswerStarted,
-    /** Give up: no time is left. */
+    /** Give up: part of a response has been sent. */
+    ResponseStarted,
+    /** Give up: too little time remains. */
     DeadlineNear,
-    /** Give up: enough attempts were made. */
+    /** Give up: the maximum number of attempts was made. */
     AttemptsExhausted,
-    /** Give up: retries already are their full share of the instance's load. */
+    /** Give up: retries already take their full share of the instance's load. */
     BudgetExhausted,
 };
 
 inline constexpr NameTable<RetryDecision, 6> retryDecisionNames{{{
     {RetryDecision::Retry, "retry"},
     {RetryDecision::MayHaveRun, "may-have-run"},
-    {RetryDecision::AnswerStarted, "answer-started"},
+    {RetryDecision::ResponseStarted, "answer-started"},
     {RetryDecision::DeadlineNear, "deadline-near"},
     {RetryDecision::AttemptsExhausted, "attempts-exhausted"},
     {RetryDecision::BudgetExhausted, "budget-exhausted"},
 }}};
 
-/** Attempts that one request gets at most, the first included. */
+/** Maximum attempts per request, the first included. */
 inline constexpr std::uint32_t maxAttempts = 3;
 
 /**
-    Decides whether a request whose last attempt failed is sent again.
+    Decides whether a request whose last attempt failed is retried.
 
     Takes a retry out of the budget exactly when it returns RetryDecision::Retry.
 */
--- a/modules/dispatch/retry/RetryPolicy_test.cpp
+++ b/modules/dispatch/retry/RetryPolicy_test.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr Millis noon{1000000};
+constexpr Millis now{1000000};
 
 RetryTraits traitsOf(bool idempotent)
 {
     RetryTraits traits;
     traits.idempotent = idempotent;
-    traits.deadline = noon + Millis::seconds(10);
+    traits.deadline = now + Millis::seconds(10);
     return traits;
 }
 
@@ -25,7 +25,7 @@
 
 } // namespace
 
-TEST_CASE("the verdict and the call's nature decide")
+TEST_CASE("the verdict and whether the call is idempotent decide about a retry")
 {
     struct Row
     {
@@ -45,56 +45,56 @@
         CAPTURE(row.idempotent);
         CAPTURE(verdictNames.name(row.verdict));
         RetryBudget budget;
-        CHECK(decideRetry(traitsOf(row.idempotent), outcomeOf(row.verdict), noon, budget)
+        CHECK(decideRetry(traitsOf(row.idempotent), outcomeOf(row.verdict), now, budget)
               == row.expected);
     }
 }
 
-// An invoice's connection breaks after it was sent and the billing server has it. Sent again, the
-// client would be billed twice.
-TEST_CASE("without the verdict's rule an invoice would be sent twice")
+// The connection breaks after an invoice was sent and the billing server has received it. Retried,
+// the client would be billed twice.
+TEST_CASE("without the verdict guard an invoice would be sent twice")
 {
     RetryBudget budget;
     const DisabledGuard off(Guard::VerdictBeforeRetry);
-    CHECK(decideRetry(traitsOf(false), outcomeOf(Verdict::MayHaveRun), noon, budget)
+    CHECK(decideRetry(traitsOf(false), outcomeOf(Verdict::MayHaveRun), now, budget)
           == RetryDecision::Retry);
 }
 
-// A stream breaks in the middle and is started anew elsewhere: the caller would see the beginning
-// twice, as one answer.
-TEST_CASE("nothing is sent again once a byte of an answer went out")
+// A stream breaks in the middle and is restarted at another upstream: the caller would receive the
+// beginning twice in one response.
+TEST_CASE("no request is retried once part of a response has been sent")
 {
     RetryBudget budget;
     RetryTraits traits = traitsOf(true);
     traits.answerStarted = true;
-    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), noon, budget)
-          == RetryDecision::AnswerStarted);
+    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget)
+          == RetryDecision::ResponseStarted);
 }
 
-TEST_CASE("no retry starts that cannot end before the deadline")
+TEST_CASE("no retry starts that cannot complete before the deadline")
 {
     RetryBudget budget;
     RetryTraits traits = traitsOf(true);
-    traits.shortestAttempt = Millis(500);
-    traits.deadline = noon + Millis(501);
-    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), noon, budget) == RetryDecision::Retry);
-    traits.deadline = noon + Millis(500);
-    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), noon, budget)
+    traits.minAttemptDuration = Millis(500);
+    traits.deadline = now + Millis(501);
+    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget) == RetryDecision::Retry);
+    traits.deadline = now + Millis(500);
+    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget)
           == RetryDecision::DeadlineNear);
 }
 
-TEST_CASE("attempts of one request are bounded")
+TEST_CASE("the number of attempts per request is limited")
 {
     RetryBudget budget;
     RetryTraits traits = traitsOf(true);
     traits.attemptsMade = maxAttempts;
-    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), noon, budget)
+    CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget)
           == RetryDecision::AttemptsExhausted);
 }
 
-// All engines of a model are overloaded and refuse. If each of a thousand requests came back
-// twice, the engines would see three thousand and never recover.
-TEST_CASE("retries stay a tenth of the load when everything fails")
+// All engines of a model are overloaded and refuse. If each of a thousand requests were retried
+// twice, the engines would receive three thousand and never recover.
+TEST_CASE("retries stay a tenth of the load when all requests fail")
 {
     constexpr int requests = 1000;
     constexpr int reserve = 10;
@@ -104,7 +104,7 @@
         budget.countFirstAttempt();
         RetryTraits traits = traitsOf(true);
         for (; traits.attemptsMade < maxAttempts; ++traits.attemptsMade) {
-            if (decideRetry(traits, outcomeOf(Verdict::NotRun), noon, budget)
+            if (decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget)
                 == RetryDecision::Retry)
                 ++retries;
         }
@@ -113,8 +113,8 @@
     CHECK(retries >= requests / 10);
 }
 
-// A quiet night must not save up a burst of retries for the morning's overload.
-TEST_CASE("an idle instance saves up no more than its reserve")
+// A night without load must not accumulate a burst of retries for the overload of the morning.
+TEST_CASE("an idle instance accumulates no more than its reserve")
 {
     RetryBudget budget(10, 5);
     for (int request = 0; request < 100000; ++request)
