--- a/modules/feeds/follower/FeedGroup.cpp
+++ b/modules/feeds/follower/FeedGroup.cpp
@@ -137,9 +137,9 @@
     for (const FeedFollower *follower : feeds_) {
         Missing &missing = missing_[static_cast<std::size_t>(follower->kind())];
         if (missing.source.empty() || follower->behindDuration() < queryDelay
-            || now - missing.queriedAt < FeedFollower::gapTimeout / 2)
+            || now - missing.querySentAt < FeedFollower::gapTimeout / 2)
             continue;
-        missing.queriedAt = now;
+        missing.querySentAt = now;
         transport_.send(missing.source, encodeFeedQuery({follower->kind(), follower->seen()}));
     }
 }
--- a/modules/feeds/follower/FeedGroup.h
+++ b/modules/feeds/follower/FeedGroup.h
@@ -84,7 +84,7 @@
     {
         /** The instance that has the missing changes. */
         PeerAddress source;
-        Millis queriedAt;
+        Millis querySentAt;
     };
     std::array<Missing, feedKinds> missing_;
 };
