--- a/modules/usage/figures/UsageFigures.h
+++ b/modules/usage/figures/UsageFigures.h
@@ -8,13 +8,13 @@
 
 namespace cuminrail {
 
-/** What a customer used: either since a beginning, or in one window. */
+/** The usage of a customer: either cumulative or of one window. */
 struct UsageFigures
 {
     std::uint64_t promptTokens = 0;
     std::uint64_t outputTokens = 0;
     std::uint64_t requests = 0;
-    /** Those of the tokens that ran on reclaimable upstreams. */
+    /** The part of the tokens that was processed by reclaimable upstreams. */
     std::uint64_t reclaimableTokens = 0;
 
     UsageFigures &operator+=(const UsageFigures &other)
@@ -26,7 +26,7 @@
         return *this;
     }
 
-    /** Returns what this has more than an earlier state; never less than nothing. */
+    /** Returns the increase since an earlier state; never less than zero. */
     UsageFigures beyond(const UsageFigures &earlier) const
     {
         const auto more = [](std::uint64_t now, std::uint64_t before) {
@@ -37,8 +37,8 @@
                 more(reclaimableTokens, earlier.reclaimableTokens)};
     }
 
-    /** Returns the greater of both in each figure. */
-    UsageFigures atLeast(const UsageFigures &other) const
+    /** Returns the maximum of both for each count. */
+    UsageFigures maximumOf(const UsageFigures &other) const
     {
         return {std::max(promptTokens, other.promptTokens),
                 std::max(outputTokens, other.outputTokens), std::max(requests, other.requests),
@@ -59,26 +59,26 @@
 
 using CustomerUsage = std::map<CustomerId, UsageFigures>;
 
-/** Adds each customer's figures. */
+/** Adds each customer's counters. */
 inline void addUsage(CustomerUsage &sum, const CustomerUsage &more)
 {
-    for (const auto &[customer, figures] : more)
-        sum[customer] += figures;
+    for (const auto &[customer, counters] : more)
+        sum[customer] += counters;
 }
 
-/** Returns a customer's figures, or zeros. */
+/** Returns the usage of a customer, or zeros. */
 inline UsageFigures usageOf(const CustomerUsage &usage, const CustomerId &customer)
 {
     const auto found = usage.find(customer);
     return found == usage.end() ? UsageFigures{} : found->second;
 }
 
-/** Returns what each customer has more than in an earlier state, without the zeros. */
-inline CustomerUsage usageBeyond(const CustomerUsage &now, const CustomerUsage &earlier)
+/** Returns the increase per customer since an earlier state, without zero entries. */
+inline CustomerUsage usageIncrease(const CustomerUsage &now, const CustomerUsage &earlier)
 {
     CustomerUsage more;
-    for (const auto &[customer, figures] : now) {
-        const UsageFigures difference = figures.beyond(usageOf(earlier, customer));
+    for (const auto &[customer, counters] : now) {
+        const UsageFigures difference = counters.beyond(usageOf(earlier, customer));
         if (!difference.isZero())
             more[customer] = difference;
     }
--- a/modules/usage/figures/UsageWindows.cpp
+++ b/modules/usage/figures/UsageWindows.cpp
@@ -16,7 +16,7 @@
 
 constexpr std::int64_t secondsPerDay = 86400;
 
-/** Days since 1970 to a Gregorian date, by eras of 400 years that begin on 1 March. */
+/** Converts days since 1970 to a Gregorian date, by eras of 400 years that begin on 1 March. */
 Date dateOf(std::int64_t days)
 {
     const std::int64_t shifted = days + 719468;
--- a/modules/usage/figures/UsageWindows.h
+++ b/modules/usage/figures/UsageWindows.h
@@ -7,28 +7,29 @@
 
 namespace cuminrail {
 
-/** The number of a usage window, counted from 1970; windows are sealed in this order, none left
- * out. */
+/**
+    The number of a usage window, counted from 1970; windows are sealed in this order without gaps.
+*/
 using WindowIndex = std::int64_t;
 
 /**
-    Cuts calendar time into usage windows.
+    Divides calendar time into usage windows.
 
-    Calendar time names windows and nothing else: instances whose calendars differ only put a
-    little use into a neighbouring window.
+    Calendar time only names windows: between instances whose clocks differ, some usage merely moves
+    to an adjacent window.
 */
 class UsageWindows
 {
 public:
     explicit UsageWindows(Millis length) : length_(length) { }
 
-    /** Returns the window of an instant, given in milliseconds since 1970 in UTC. */
+    /** Returns the window of a time, given in milliseconds since 1970 in UTC. */
     WindowIndex indexAt(Millis sinceEpoch) const { return sinceEpoch.count() / length_.count(); }
-    /** Returns the instant at which a window begins. */
+    /** Returns the time at which a window begins. */
     Millis beginOf(WindowIndex index) const { return length_ * index; }
-    /** Returns the name of a window, for instance "2026-12-02T10:15:00". */
+    /** Returns the name of a window, for example "2026-12-02T10:15:00". */
     std::string nameOf(WindowIndex index) const;
-    /** Returns the text that sorts as the windows do, for paths in the store. */
+    /** Returns a text that sorts in the order of the windows, for paths in the store. */
     static std::string keyOf(WindowIndex index);
 
 private:
--- a/modules/usage/flush/FlushPeriod.h
+++ b/modules/usage/flush/FlushPeriod.h
@@ -7,22 +7,22 @@
 
 namespace cuminrail {
 
-/** The writes a second that all instances' usage counters together may cost the store. */
-inline constexpr std::size_t usageWritesPerSecond = 40;
+/** Maximum writes per second to the store by the usage counters of all instances together. */
+inline constexpr std::size_t maxUsageWritesPerSecond = 40;
 
-/** The shortest span between two writes of one instance's counters for one team. */
+/** Minimum interval between two writes of one instance's counters for one team. */
 inline constexpr Millis shortestFlushPeriod = Millis::seconds(10);
 
 /**
-    Returns how often an instance writes each team's counters.
+    Returns the interval at which an instance writes the counters of each team.
 
-    It bounds what is lost when an instance dies, so it is as short as the store allows.
+    It bounds the usage lost when an instance dies, so it is as short as the store permits.
 */
 inline Millis flushPeriod(std::size_t instances, std::size_t teams)
 {
     const std::size_t objects = instances * teams;
-    const auto spread = static_cast<std::int64_t>(objects * 1000 / usageWritesPerSecond);
-    return std::max(shortestFlushPeriod, Millis(spread));
+    const auto interval = static_cast<std::int64_t>(objects * 1000 / maxUsageWritesPerSecond);
+    return std::max(shortestFlushPeriod, Millis(interval));
 }
 
 } // namespace cuminrail
--- a/modules/usage/flush/UsageFlusher.cpp
+++ b/modules/usage/flush/UsageFlusher.cpp
@@ -3,26 +3,26 @@
 namespace cuminrail {
 
 namespace {
-constexpr Millis retryAfter{1000};
+constexpr Millis retryDelay{1000};
 } // namespace
 
 UsageFlusher::UsageFlusher(TeamId team, InstanceLife self, Hooks hooks)
     : team_(std::move(team)), self_(std::move(self)), hooks_(std::move(hooks))
 {
     record_.window = hooks_.currentWindow();
-    later(hooks_.period());
+    scheduleNext(hooks_.period());
 }
 
 std::string UsageFlusher::path() const
 {
-    const std::string life = self_.instance.text() + "-" + std::to_string(self_.incarnation);
-    return prefix(team_) + life + (part_ == 0 ? "" : "." + std::to_string(part_));
+    const std::string incarnation = self_.instance.text() + "-" + std::to_string(self_.incarnation);
+    return prefix(team_) + incarnation + (part_ == 0 ? "" : "." + std::to_string(part_));
 }
 
 void UsageFlusher::enterWindow()
 {
     const WindowIndex current = hooks_.currentWindow();
-    // The calendar may be set back; a window that was left is not entered again.
+    // The calendar may be set back; a window that has ended is not entered again.
     if (current <= record_.window)
         return;
     const bool isNext = current == record_.window + 1;
@@ -31,15 +31,15 @@
     record_.window = current;
 }
 
-void UsageFlusher::add(const CustomerId &customer, const UsageFigures &figures)
+void UsageFlusher::add(const CustomerId &customer, const UsageFigures &counters)
 {
     enterWindow();
-    record_.total[customer] += figures;
+    record_.total[customer] += counters;
     dirty_ = true;
     changedSinceSend_ = true;
 }
 
-void UsageFlusher::later(Millis span)
+void UsageFlusher::scheduleNext(Millis span)
 {
     const auto width = static_cast<std::uint64_t>(span.count() / 4 + 1);
     nextAt_ =
@@ -51,7 +51,7 @@
     stopping_ = true;
     nextAt_ = hooks_.clock.now();
     record_.isFinal = true;
-    // An instance that never counted has nothing to close.
+    // An instance that has never written has no object to finalise.
     dirty_ = dirty_ || version_ != 0;
     changedSinceSend_ = true;
 }
@@ -84,11 +84,11 @@
     if (reply.status == StoreStatus::Ok) {
         version_ = reply.version;
         dirty_ = changedSinceSend_;
-        later(stopping_ ? Millis(0) : hooks_.period());
+        scheduleNext(stopping_ ? Millis(0) : hooks_.period());
         return;
     }
     readBackDue_ = reply.status != StoreStatus::Unavailable;
-    later(retryAfter);
+    scheduleNext(retryDelay);
 }
 
 void UsageFlusher::readBack()
@@ -100,7 +100,7 @@
 void UsageFlusher::readDone(const StoreReply &reply)
 {
     busy_ = false;
-    later(retryAfter);
+    scheduleNext(retryDelay);
     if (reply.status == StoreStatus::Ok && !reply.objects.empty()) {
         version_ = reply.objects.front().version;
         readBackDue_ = false;
@@ -114,14 +114,15 @@
 }
 
 /**
-    The merger took this life for dead, kept its last figures for good and removed the object.
-    Writing the cumulative figures again would count them twice, so what follows is counted anew.
+    The merge considered this incarnation dead, kept its last counts for good and removed the
+    object. Writing the cumulative counts again would count them twice, so counting restarts with
+    the increase since then.
 */
 void UsageFlusher::startNewPart()
 {
     ++part_;
     version_ = 0;
-    record_.total = usageBeyond(record_.total, mayBeStored_);
+    record_.total = usageIncrease(record_.total, mayBeStored_);
     record_.atWindowStart.clear();
     record_.atPreviousStart.clear();
     mayBeStored_.clear();
--- a/modules/usage/flush/UsageFlusher.h
+++ b/modules/usage/flush/UsageFlusher.h
@@ -13,11 +13,11 @@
 namespace cuminrail {
 
 /**
-    Counts one team's use at one instance and writes the counters to the store now and then.
+    Counts the usage of one team at one instance and periodically writes the counters to the store.
 
-    What an instance has counted and not yet written is lost when it dies: at most what was used
-    in one flush period and one call to the store. Counters are cumulative, so a write that is
-    repeated or overtaken does no harm.
+    Counts that are not written yet are lost when the instance dies: at most the usage of one flush
+    interval and one call to the store. Counters are cumulative, so a write that is repeated or
+    arrives out of order does no harm.
 */
 class UsageFlusher
 {
@@ -27,9 +27,9 @@
         ObjectStore store;
         Clock clock;
         RandomHook random;
-        /** The window that calendar time is in. */
+        /** Returns the current window. */
         std::function<WindowIndex()> currentWindow;
-        /** How often to write; asked again after each write. */
+        /** Returns the write interval; called again after each write. */
         std::function<Millis()> period;
     };
 
@@ -37,15 +37,15 @@
     UsageFlusher(const UsageFlusher &) = delete;
     UsageFlusher &operator=(const UsageFlusher &) = delete;
 
-    /** Counts what a request used, in the window that calendar time is in. */
-    void add(const CustomerId &customer, const UsageFigures &figures);
-    /** Does what is due. */
+    /** Adds the usage of a request to the current window. */
+    void add(const CustomerId &customer, const UsageFigures &counters);
+    /** Performs due work. */
     void tick();
     /** Begins a planned stop: writes at once, and for the last time. */
     void stop();
-    /** Returns true when everything counted has reached the store. */
+    /** Returns whether all counts have reached the store. */
     bool isFlushed() const { return !busy_ && !dirty_; }
-    /** Returns what has been counted in this life. */
+    /** Returns the usage counted in this incarnation. */
     const CustomerUsage &total() const { return record_.total; }
 
     static std::string prefix(const TeamId &team) { return "usage/" + team.text() + "/counters/"; }
@@ -58,14 +58,14 @@
     void readBack();
     void readDone(const StoreReply &reply);
     void startNewPart();
-    void later(Millis span);
+    void scheduleNext(Millis span);
 
     TeamId team_;
     InstanceLife self_;
     Hooks hooks_;
     CounterRecord record_;
     CustomerUsage sending_;
-    /** What the store has of this part, or may have. */
+    /** The counts of this part that the store has, or may have. */
     CustomerUsage mayBeStored_;
     ObjectVersion version_ = 0;
     std::uint32_t part_ = 0;
--- a/modules/usage/record/CounterRecord.h
+++ b/modules/usage/record/CounterRecord.h
@@ -10,11 +10,11 @@
 namespace cuminrail {
 
 /**
-    The value of an object "usage/<team>/counters/<instance>-<incarnation>".
+    The value of the object "usage/<team>/counters/<instance>-<incarnation>".
 
-    All figures are cumulative over one life of an instance. Beside the present state it holds the
-    state at the beginning of the window and of the one before, so that a window is cut at its end
-    although the object is written later.
+    All counts are cumulative over one incarnation of an instance. Besides the present state it
+    holds the state at the beginning of the window and of the one before, so that the usage of a
+    window ends exactly at its end although the object is written later.
 */
 struct CounterRecord
 {
@@ -22,12 +22,12 @@
     CustomerUsage total;
     CustomerUsage atWindowStart;
     CustomerUsage atPreviousStart;
-    /** The instance has stopped as planned and counts no more. */
+    /** The instance has stopped as planned; the counters are final. */
     bool isFinal = false;
 
-    /** Returns what had been used when a window ended, as far as this record knows. */
+    /** Returns the usage at the end of a window, as far as this record contains it. */
     const CustomerUsage &atEndOf(WindowIndex ended) const;
-    /** Returns what had been used when a window began, as far as this record knows. */
+    /** Returns the usage at the beginning of a window, as far as this record contains it. */
     const CustomerUsage &atBeginOf(WindowIndex begun) const;
 
     std::string toText() const;
--- a/modules/usage/record/SealedWindow.cpp
+++ b/modules/usage/record/SealedWindow.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Json namedFigures(const UsageFigures &figures)
+Json countersToJson(const UsageFigures &figures)
 {
     return Json{{"prompt_tokens", figures.promptTokens},
                 {"output_tokens", figures.outputTokens},
@@ -45,10 +45,10 @@
 {
     Json customers = Json::object();
     for (const auto &[customer, figures] : used) {
-        Json entry = namedFigures(figures);
+        Json entry = countersToJson(figures);
         const auto lateFigures = late.find(customer);
         if (lateFigures != late.end())
-            entry["late"] = namedFigures(lateFigures->second);
+            entry["late"] = countersToJson(lateFigures->second);
         customers[customer.text()] = entry;
     }
     return Json{{"window", windowId}, {"customers", customers}}.dump();
--- a/modules/usage/record/SealedWindow.h
+++ b/modules/usage/record/SealedWindow.h
@@ -10,33 +10,36 @@
 
 namespace cuminrail {
 
-/** The counters of a life of an instance that will count no more, kept until they are gone. */
+/**
+    The final counters of an ended incarnation of an instance, kept until their object is removed.
+*/
 struct FoldedCounters
 {
     CustomerUsage total;
-    /** The window at whose seal the counters were last seen in the store. */
+    /** The window at whose seal the counters were last present in the store. */
     WindowIndex lastSeen = 0;
 };
 
-/** What the next window's merge needs from this one. */
+/** The state that the merge of the next window needs from this one. */
 struct UsageCarry
 {
-    /** All that has ever been reported or is in this window. */
+    /** All usage that was reported or is in this window. */
     CustomerUsage reportedTotal;
-    /** The sum of all folded counters, also of those that are long removed. */
+    /** The sum of all folded counters, also of those removed long ago. */
     CustomerUsage foldedTotal;
-    /** By name of the counter object. */
+    /** Folded counters by the name of their object. */
     std::map<std::string, FoldedCounters> folded;
 };
 
-/** The value of an object "usage/<team>/sealed/<window>": created once, its figures never change.
- */
+/**
+    The value of the object "usage/<team>/sealed/<window>": created once, its figures never change.
+*/
 struct SealedWindow
 {
     WindowIndex window = 0;
     /** "north/2026-12-02T10:15:00" */
     std::string windowId;
-    /** The bytes that are reported. */
+    /** The exact bytes that are reported. */
     std::string figures;
     UsageCarry carry;
     bool isReported = false;
@@ -45,7 +48,7 @@
     static std::optional<SealedWindow> fromText(const std::string &text, Reason *lastReason);
 };
 
-/** Returns the figures' bytes: per customer what was used, and which of it came late. */
+/** Returns the figures to report: the usage per customer, and the part of it that arrived late. */
 std::string usageFiguresText(const std::string &windowId, const CustomerUsage &used,
                              const CustomerUsage &late);
 
--- a/modules/usage/record/UsageJson.h
+++ b/modules/usage/record/UsageJson.h
@@ -7,24 +7,24 @@
 namespace cuminrail {
 namespace detail {
 
-/** Writes figures as an array of four, which keeps counters of many customers small. */
+/** Writes the counts as arrays of four, which keeps the counters of many customers small. */
 inline nlohmann::json usageToJson(const CustomerUsage &usage)
 {
     nlohmann::json json = nlohmann::json::object();
-    for (const auto &[customer, figures] : usage)
-        json[customer.text()] = {figures.promptTokens, figures.outputTokens, figures.requests,
-                                 figures.reclaimableTokens};
+    for (const auto &[customer, counters] : usage)
+        json[customer.text()] = {counters.promptTokens, counters.outputTokens, counters.requests,
+                                 counters.reclaimableTokens};
     return json;
 }
 
-/** Reads what usageToJson() wrote; throws nlohmann::json::exception on anything else. */
+/** Parses the output of usageToJson(); throws nlohmann::json::exception on anything else. */
 inline CustomerUsage usageFromJson(const nlohmann::json &json)
 {
     CustomerUsage usage;
-    for (const auto &[customer, figures] : json.items())
+    for (const auto &[customer, counters] : json.items())
         usage[CustomerId(customer)] = {
-            figures.at(0).get<std::uint64_t>(), figures.at(1).get<std::uint64_t>(),
-            figures.at(2).get<std::uint64_t>(), figures.at(3).get<std::uint64_t>()};
+            counters.at(0).get<std::uint64_t>(), counters.at(1).get<std::uint64_t>(),
+            counters.at(2).get<std::uint64_t>(), counters.at(3).get<std::uint64_t>()};
     return usage;
 }
 
--- a/modules/usage/seal/UsageMerge.cpp
+++ b/modules/usage/seal/UsageMerge.cpp
@@ -4,8 +4,11 @@
 
 namespace {
 
-/** How long the memory of a folded and removed counter guards against a list that lags. */
-constexpr WindowIndex foldedMemory = 12;
+/**
+    Number of windows for which a folded and removed counter is remembered, as a stale list may
+    still show it.
+*/
+constexpr WindowIndex foldedRetention = 12;
 
 CustomerUsage foldedOf(const UsageCarry &carry, const std::string &name)
 {
@@ -16,14 +19,14 @@
 void fold(UsageCarry &carry, const CounterSource &source, WindowIndex window)
 {
     const CustomerUsage already = foldedOf(carry, source.name);
-    addUsage(carry.foldedTotal, usageBeyond(source.record.total, already));
+    addUsage(carry.foldedTotal, usageIncrease(source.record.total, already));
     carry.folded[source.name] = FoldedCounters{source.record.total, window};
 }
 
-void forgetRemoved(UsageCarry &carry, WindowIndex window)
+void removeExpired(UsageCarry &carry, WindowIndex window)
 {
     for (auto it = carry.folded.begin(); it != carry.folded.end();) {
-        const bool isOld = it->second.lastSeen + foldedMemory < window;
+        const bool isOld = it->second.lastSeen + foldedRetention < window;
         it = isOld ? carry.folded.erase(it) : std::next(it);
     }
 }
@@ -41,18 +44,19 @@
     CustomerUsage atBegin = before.foldedTotal;
     for (const CounterSource &source : input.sources) {
         const CustomerUsage folded = foldedOf(before, source.name);
-        // A folded counter's figures are in foldedTotal already; only what came since is new.
+        // The counts of a folded counter are in foldedTotal already; only the increase since then
+        // is new.
         const bool isClosed = input.isClosed(source);
         const CustomerUsage &end =
             isClosed ? source.record.total : source.record.atEndOf(input.window);
-        addUsage(atEnd, usageBeyond(end, folded));
-        addUsage(atBegin, usageBeyond(source.record.atBeginOf(input.window), folded));
+        addUsage(atEnd, usageIncrease(end, folded));
+        addUsage(atBegin, usageIncrease(source.record.atBeginOf(input.window), folded));
         if (isClosed)
             fold(sealed.carry, source, input.window);
     }
-    forgetRemoved(sealed.carry, input.window);
-    const CustomerUsage used = usageBeyond(atEnd, before.reportedTotal);
-    const CustomerUsage late = usageBeyond(atBegin, before.reportedTotal);
+    removeExpired(sealed.carry, input.window);
+    const CustomerUsage used = usageIncrease(atEnd, before.reportedTotal);
+    const CustomerUsage late = usageIncrease(atBegin, before.reportedTotal);
     addUsage(sealed.carry.reportedTotal, used);
     const bool isFirst = !input.previous.has_value();
     sealed.figures = usageFiguresText(input.windowId, used, isFirst ? CustomerUsage{} : late);
--- a/modules/usage/seal/UsageMerge.h
+++ b/modules/usage/seal/UsageMerge.h
@@ -11,7 +11,7 @@
 
 namespace cuminrail {
 
-/** One counter object as a list showed it. */
+/** One counter object as returned by a list. */
 struct CounterSource
 {
     /** "<instance>-<incarnation>" */
@@ -20,23 +20,24 @@
     CounterRecord record;
 };
 
-/** Which window to make up, and what is known about its counters. */
+/** The window to compute, and the state of its counters. */
 struct UsageMergeInput
 {
     WindowIndex window = 0;
     std::string windowId;
     std::optional<UsageCarry> previous;
     std::vector<CounterSource> sources;
-    /** Says whether a counter object will change no more. */
+    /** Returns whether a counter object is final. */
     std::function<bool(const CounterSource &)> isClosed;
 };
 
 /**
-    Makes up a window: the sum of all cumulative counters at its end, less what was reported.
+    Computes a window: the sum of all cumulative counters at its end, less the usage that was
+    reported.
 
-    Use that reached the store after its own window was sealed is in the sum and not yet in what
-    was reported, so it falls into this window; it is marked as late. A list that lags shows less
-    than was reported; the figures then are zero and never negative.
+    Usage that reached the store after its own window was sealed is in the sum but was not reported,
+    so it becomes part of this window and is marked as late. A stale list shows less than was
+    reported; the figures are then zero and never negative.
 */
 SealedWindow mergeUsage(const UsageMergeInput &input);
 
--- a/modules/usage/seal/UsageReporter.cpp
+++ b/modules/usage/seal/UsageReporter.cpp
@@ -15,7 +15,7 @@
 
 template<typename Reply>
 std::function<void(const Reply &)>
-UsageReporter::current(void (UsageReporter::*method)(const Reply &))
+UsageReporter::guardCompletion(void (UsageReporter::*method)(const Reply &))
 {
     return [this, method, epoch = epoch_](const Reply &reply) {
         if (epoch != epoch_)
@@ -28,13 +28,13 @@
 void UsageReporter::taken()
 {
     lost();
-    inCharge_ = true;
+    isActive_ = true;
 }
 
 void UsageReporter::lost()
 {
     ++epoch_;
-    inCharge_ = false;
+    isActive_ = false;
     loaded_ = false;
     busy_ = false;
     first_.reset();
@@ -70,7 +70,7 @@
     return authority;
 }
 
-void UsageReporter::retryLater()
+void UsageReporter::scheduleRetry()
 {
     const auto width = static_cast<std::uint64_t>(timing_.retryEvery.count());
     nextAt_ = hooks_.clock.now() + timing_.retryEvery
@@ -79,7 +79,7 @@
 
 void UsageReporter::tick()
 {
-    if (!inCharge_ || busy_ || hooks_.clock.now() < nextAt_ || !usableAuthority())
+    if (!isActive_ || busy_ || hooks_.clock.now() < nextAt_ || !usableAuthority())
         return;
     if (!loaded_) {
         loadSeals();
@@ -98,13 +98,13 @@
 void UsageReporter::loadSeals()
 {
     busy_ = true;
-    hooks_.store.list(sealPrefix(team_), current<StoreReply>(&UsageReporter::sealsLoaded));
+    hooks_.store.list(sealPrefix(team_), guardCompletion<StoreReply>(&UsageReporter::sealsLoaded));
 }
 
 void UsageReporter::sealsLoaded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     for (const StoreObject &object : reply.objects) {
@@ -116,31 +116,31 @@
 }
 
 /**
-    The very first window is agreed on once. Without it two holders who both find no seal could
-    begin with different windows, and the same use would be in both.
+    The first window is agreed on once, by creating an object in the store. Otherwise two holders
+    that both find no seal could begin with different windows, and the same usage would be in both.
 */
 void UsageReporter::claimStart()
 {
     busy_ = true;
     const WindowIndex window = windows_.indexAt(hooks_.calendar());
     hooks_.store.put({startPath(team_), std::to_string(window), 0},
-                     current<StoreReply>(&UsageReporter::startClaimed));
+                     guardCompletion<StoreReply>(&UsageReporter::startClaimed));
 }
 
 void UsageReporter::startClaimed(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::Unavailable) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     busy_ = true;
-    hooks_.store.get(startPath(team_), current<StoreReply>(&UsageReporter::startRead));
+    hooks_.store.get(startPath(team_), guardCompletion<StoreReply>(&UsageReporter::startRead));
 }
 
 void UsageReporter::startRead(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok || reply.objects.empty()) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     first_ = std::strtoll(reply.objects.front().value.c_str(), nullptr, 10);
@@ -160,13 +160,13 @@
 {
     busy_ = true;
     hooks_.store.list(UsageFlusher::prefix(team_),
-                      current<StoreReply>(&UsageReporter::countersListed));
+                      guardCompletion<StoreReply>(&UsageReporter::countersListed));
 }
 
 void UsageReporter::countersListed(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     for (const CounterSource &source : sources_)
@@ -194,11 +194,13 @@
     input.isClosed = [this](const CounterSource &source) {
         if (source.record.isFinal)
             return true;
-        // Dead by the members' list and not written for a whole window.
+        // The instance is not alive according to the membership list, and its counters were not
+        // written for a whole window.
         const auto before = versionsBefore_.find(source.name);
-        const bool stands = before != versionsBefore_.end() && before->second == source.version;
-        const std::string life = source.name.substr(0, source.name.find('.'));
-        return stands && !hooks_.isLive(life);
+        const bool isUnchanged =
+            before != versionsBefore_.end() && before->second == source.version;
+        const std::string incarnation = source.name.substr(0, source.name.find('.'));
+        return isUnchanged && !hooks_.isLive(incarnation);
     };
     return input;
 }
@@ -206,55 +208,56 @@
 void UsageReporter::writeSeal()
 {
     if (!usableAuthority()) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     busy_ = true;
     StorePut put;
     put.path = sealPath(draft_.window);
     put.value = draft_.toText();
-    // Two holders compute different figures for the same window, because counters go on moving.
-    // Only the first to create the seal is heard; an overwrite would give a window two figures.
+    // Two holders compute different figures for the same window, because counters keep changing.
+    // Only the first seal created is valid; an overwrite would give a window two sets of figures.
     if (guardEnabled(Guard::SealCreatedOnce))
         put.expected = 0;
-    hooks_.store.put(put, current<StoreReply>(&UsageReporter::sealWritten));
+    hooks_.store.put(put, guardCompletion<StoreReply>(&UsageReporter::sealWritten));
 }
 
 void UsageReporter::sealWritten(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::Ok) {
-        adoptSeal(reply.version, draft_);
+        acceptSeal(reply.version, draft_);
         return;
     }
     if (reply.status == StoreStatus::Unavailable) {
-        retryLater();
+        scheduleRetry();
         return;
     }
-    // Someone sealed this window, perhaps this very write: what stands there is the seal.
+    // The window has been sealed, perhaps by this very write: the stored object is the seal.
     busy_ = true;
-    hooks_.store.get(sealPath(draft_.window), current<StoreReply>(&UsageReporter::sealRead));
+    hooks_.store.get(sealPath(draft_.window),
+                     guardCompletion<StoreReply>(&UsageReporter::sealRead));
 }
 
 void UsageReporter::sealRead(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok || reply.objects.empty()) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     const StoreObject &object = reply.objects.front();
     const auto window = SealedWindow::fromText(object.value, nullptr);
     if (window)
-        adoptSeal(object.version, *window);
+        acceptSeal(object.version, *window);
     else
-        retryLater();
+        scheduleRetry();
 }
 
-void UsageReporter::adoptSeal(ObjectVersion version, const SealedWindow &window)
+void UsageReporter::acceptSeal(ObjectVersion version, const SealedWindow &window)
 {
     seals_[window.window] = Seal{version, window};
     for (const CounterSource &source : sources_) {
         const auto folded = window.carry.folded.find(source.name);
-        // Removed only in the version whose figures the seal took over.
+        // An object is removed only in the version whose counts the seal contains.
         if (folded != window.carry.folded.end() && folded->second.total == source.record.total)
             removable_[source.name] = source.version;
     }
@@ -263,8 +266,8 @@
 
 std::string UsageReporter::figuresToReport(const Seal &seal) const
 {
-    // A report whose answer was lost is repeated, perhaps by another holder. Figures made up
-    // again would differ by what was counted since, and the customer would be billed by chance.
+    // A report whose reply was lost is sent again, perhaps by another holder. Figures computed
+    // again would include what was counted since, and the bill would depend on chance.
     if (guardEnabled(Guard::ReportFromSeal))
         return seal.window.figures;
     return mergeUsage(mergeInput(seal.window.window)).figures;
@@ -285,7 +288,7 @@
     report.sealedFigures = figuresToReport(oldest->second);
     report.fence = authority->fence;
     report.notAfter = authority->notAfter;
-    hooks_.receiver.report(report, current<OrderReply>(&UsageReporter::reported));
+    hooks_.receiver.report(report, guardCompletion<OrderReply>(&UsageReporter::reported));
     return true;
 }
 
@@ -297,7 +300,7 @@
             Event{&events::usageWindowRefused,
                   {{"window", seal.window.windowId}, {"reason", reply.lastReason.toString()}}});
     if (reply.status != OrderStatus::Accepted) {
-        retryLater();
+        scheduleRetry();
         return;
     }
     hooks_.events(Event{&events::usageWindowReported, {{"window", seal.window.windowId}}});
@@ -305,7 +308,7 @@
     SealedWindow marked = seal.window;
     marked.isReported = true;
     hooks_.store.put({sealPath(reporting_), marked.toText(), seal.version},
-                     current<StoreReply>(&UsageReporter::markWritten));
+                     guardCompletion<StoreReply>(&UsageReporter::markWritten));
 }
 
 void UsageReporter::markWritten(const StoreReply &reply)
@@ -316,9 +319,10 @@
         seal.window.isReported = true;
         return;
     }
-    // The mark may or may not stand. All seals are read again; at worst the same bytes go twice.
+    // The mark may or may not have been stored. All seals are read again; at worst the same bytes
+    // are reported twice.
     loaded_ = false;
-    retryLater();
+    scheduleRetry();
 }
 
 bool UsageReporter::removeOld()
@@ -329,7 +333,7 @@
         const ObjectVersion version = first->second;
         removable_.erase(first);
         busy_ = true;
-        hooks_.store.remove(path, version, current<StoreReply>(&UsageReporter::removed));
+        hooks_.store.remove(path, version, guardCompletion<StoreReply>(&UsageReporter::removed));
         return true;
     }
     if (seals_.empty() || seals_.begin()->first + timing_.kept >= seals_.rbegin()->first)
@@ -339,14 +343,15 @@
         return false;
     busy_ = true;
     hooks_.store.remove(sealPath(oldest->first), oldest->second.version,
-                        current<StoreReply>(&UsageReporter::removed));
+                        guardCompletion<StoreReply>(&UsageReporter::removed));
     seals_.erase(oldest);
     return true;
 }
 
 void UsageReporter::removed(const StoreReply &)
 {
-    // Whatever came of it: an object that is still there is met again at the next seal or load.
+    // The result does not matter: an object that still exists is handled again at the next seal or
+    // load.
 }
 
 } // namespace cuminrail
--- a/modules/usage/seal/UsageReporter.h
+++ b/modules/usage/seal/UsageReporter.h
@@ -20,21 +20,24 @@
 struct UsageTiming
 {
     Millis windowLength = Millis::minutes(5);
-    /** How long after a window's end it is sealed, so that instances can write what they have. */
+    /**
+        Delay between the end of a window and its seal, so that instances can write their counters.
+    */
     Millis grace = Millis::seconds(15);
     Millis retryEvery{1000};
-    /** Nothing is written or reported with less of the lease left than this. */
+    /** Nothing is written or reported if less than this remains of the lease. */
     Millis sendMargin{1000};
-    /** How many sealed and reported windows stay in the store. */
+    /** Number of sealed and reported windows that remain in the store. */
     WindowIndex kept = 48;
 };
 
 /**
-    Seals and reports one team's usage windows, as the holder of the team's duty.
+    Seals and reports the usage windows of one team, as the holder of the team's duty.
 
-    Windows are sealed one after the other and none is left out. Each seal is created on the
-    condition that there is none, so that of two who believe to be in charge one makes the figures
-    and both report them; a window that a slow writer seals late is found, not repeated.
+    Windows are sealed in order and without gaps. A seal is created on the condition that none
+    exists, so that of two instances that both consider themselves the holder one determines the
+    figures and both report them; a window that a delayed write has sealed is read, not sealed
+    again.
 */
 class UsageReporter
 {
@@ -47,9 +50,12 @@
         RandomHook random;
         EventSink events;
         std::function<std::optional<Authority>()> authority;
-        /** Calendar time since 1970 in UTC. */
+        /** Returns calendar time since 1970 in UTC. */
         std::function<Millis()> calendar;
-        /** Says whether a life of an instance, "<instance>-<incarnation>", may still count. */
+        /**
+            Returns whether an incarnation of an instance, "<instance>-<incarnation>", may still
+            count.
+        */
         std::function<bool(const std::string &)> isLive;
     };
 
@@ -57,16 +63,16 @@
     UsageReporter(const UsageReporter &) = delete;
     UsageReporter &operator=(const UsageReporter &) = delete;
 
-    /** The duty's lease was taken. */
+    /** The lease of the duty was acquired. */
     void taken();
-    /** The duty's lease was lost or is being given back. */
+    /** The lease of the duty was lost or is being released. */
     void lost();
-    /** Does what is due. */
+    /** Performs due work. */
     void tick();
 
     /** Returns the last window known to be sealed. */
     std::optional<WindowIndex> lastSealed() const;
-    /** Returns how many sealed windows the platform has not confirmed. */
+    /** Returns the number of sealed windows that the platform has not confirmed. */
     std::size_t unreported() const;
 
     static std::string sealPrefix(const TeamId &team)
@@ -83,7 +89,8 @@
     };
 
     template<typename Reply>
-    std::function<void(const Reply &)> current(void (UsageReporter::*method)(const Reply &));
+    std::function<void(const Reply &)>
+    guardCompletion(void (UsageReporter::*method)(const Reply &));
 
     std::optional<Authority> usableAuthority() const;
     std::string sealPath(WindowIndex window) const;
@@ -99,7 +106,7 @@
     void writeSeal();
     void sealWritten(const StoreReply &reply);
     void sealRead(const StoreReply &reply);
-    void adoptSeal(ObjectVersion version, const SealedWindow &window);
+    void acceptSeal(ObjectVersion version, const SealedWindow &window);
     bool reportOldest();
     void reported(const OrderReply &reply);
     void markWritten(const StoreReply &reply);
@@ -107,13 +114,13 @@
     void removed(const StoreReply &reply);
     std::string figuresToReport(const Seal &seal) const;
     UsageMergeInput mergeInput(WindowIndex window) const;
-    void retryLater();
+    void scheduleRetry();
 
     TeamId team_;
     UsageTiming timing_;
     UsageWindows windows_;
     Hooks hooks_;
-    bool inCharge_ = false;
+    bool isActive_ = false;
     bool loaded_ = false;
     bool busy_ = false;
     std::uint64_t epoch_ = 0;
@@ -121,7 +128,7 @@
     std::optional<WindowIndex> first_;
     std::map<WindowIndex, Seal> seals_;
     std::vector<CounterSource> sources_;
-    /** Versions of counters at the seal before, to see which have stopped moving. */
+    /** Versions of the counters at the previous seal, to detect which have stopped changing. */
     std::map<std::string, ObjectVersion> versionsBefore_;
     SealedWindow draft_;
     WindowIndex reporting_ = 0;
--- a/modules/usage/seal/UsageReporter_test.cpp
+++ b/modules/usage/seal/UsageReporter_test.cpp
@@ -14,20 +14,20 @@
 namespace {
 
 const TeamId team{"north"};
-const CustomerId chamber{"chamber"};
+const CustomerId customer{"chamber"};
 constexpr Millis window = Millis::seconds(60);
 
 /** One instance that counts and may report. */
 struct Node
 {
-    std::string life;
+    std::string incarnationName;
     FakeProcessPtr process;
     Authority lease;
     std::unique_ptr<UsageFlusher> flusher;
     std::unique_ptr<UsageReporter> reporter;
 };
 
-class World
+class UsageTestBed
 {
 public:
     FakeScheduler scheduler;
@@ -40,7 +40,7 @@
     {
         nodes.push_back(std::make_unique<Node>());
         Node &node = *nodes.back();
-        node.life = name + "-1";
+        node.incarnationName = name + "-1";
         node.process = std::make_shared<FakeProcess>(name);
         UsageFlusher::Hooks flush{store.port(node.process), scheduler.clock(), scheduler.random(),
                                   [this] { return UsageWindows(window).indexAt(scheduler.now()); },
@@ -49,23 +49,24 @@
                                                       std::move(flush));
         UsageTiming timing;
         timing.windowLength = window;
-        UsageReporter::Hooks hooks{store.port(node.process),
-                                   receiver.port(node.process),
-                                   scheduler.clock(),
-                                   scheduler.random(),
-                                   ignoreEvents(),
-                                   [this, &node]() -> std::optional<Authority> {
-                                       if (scheduler.now() >= node.lease.notAfter)
-                                           return std::nullopt;
-                                       return node.lease;
-                                   },
-                                   [this] { return scheduler.now(); },
-                                   [this](const std::string &life) { return isLive(life); }};
+        UsageReporter::Hooks hooks{
+            store.port(node.process),
+            receiver.port(node.process),
+            scheduler.clock(),
+            scheduler.random(),
+            ignoreEvents(),
+            [this, &node]() -> std::optional<Authority> {
+                if (scheduler.now() >= node.lease.notAfter)
+                    return std::nullopt;
+                return node.lease;
+            },
+            [this] { return scheduler.now(); },
+            [this](const std::string &incarnationName) { return isLive(incarnationName); }};
         node.reporter = std::make_unique<UsageReporter>(team, timing, std::move(hooks));
         return node;
     }
 
-    void giveDuty(Node &node, FenceNumber fence, Millis span)
+    void assignDuty(Node &node, FenceNumber fence, Millis span)
     {
         node.lease = Authority{fence, scheduler.now() + span};
         node.reporter->taken();
@@ -85,22 +86,22 @@
         }
     }
 
-    void use(Node &node, std::uint64_t tokens)
+    void addUsageAt(Node &node, std::uint64_t tokens)
     {
-        node.flusher->add(chamber, UsageFigures{tokens, 0, 1, 0});
+        node.flusher->add(customer, UsageFigures{tokens, 0, 1, 0});
     }
 
-    bool isLive(const std::string &life)
+    bool isLive(const std::string &incarnationName)
     {
         for (auto &node : nodes) {
-            if (node->life == life)
+            if (node->incarnationName == incarnationName)
                 return node->process->isAlive();
         }
         return false;
     }
 
-    /** The distinct figures that the platform was ever told, by window. */
-    std::map<std::string, std::set<std::string>> figures()
+    /** The distinct figures that the platform has received, by window. */
+    std::map<std::string, std::set<std::string>> figuresByWindow()
     {
         std::map<std::string, std::set<std::string>> byWindow;
         for (const ReceivedReport &received : receiver.received())
@@ -108,9 +109,9 @@
         return byWindow;
     }
 
-    bool hasTwoFigures()
+    bool hasConflictingFigures()
     {
-        for (const auto &[id, variants] : figures()) {
+        for (const auto &[id, variants] : figuresByWindow()) {
             if (variants.size() > 1)
                 return true;
         }
@@ -120,7 +121,7 @@
     std::uint64_t billed(const std::string &key)
     {
         std::uint64_t sum = 0;
-        for (const auto &[id, variants] : figures()) {
+        for (const auto &[id, variants] : figuresByWindow()) {
             const auto json = nlohmann::json::parse(*variants.begin());
             const auto &customers = json.at("customers");
             if (!customers.contains("chamber"))
@@ -139,195 +140,197 @@
 
 } // namespace
 
-TEST_CASE("use at several instances is billed once")
+TEST_CASE("usage at several instances is billed once")
 {
-    World world;
-    Node &a = world.add("a");
-    Node &b = world.add("b");
-    world.giveDuty(a, 1, longLease);
+    UsageTestBed bed;
+    Node &a = bed.add("a");
+    Node &b = bed.add("b");
+    bed.assignDuty(a, 1, longLease);
     for (int i = 0; i < 30; ++i) {
-        world.use(a, 10);
-        world.use(b, 7);
-        world.run(Millis::seconds(7));
+        bed.addUsageAt(a, 10);
+        bed.addUsageAt(b, 7);
+        bed.run(Millis::seconds(7));
     }
-    world.run(Millis::minutes(3));
-    CHECK(world.billed("prompt_tokens") == 30 * 17);
-    CHECK(world.billed("requests") == 60);
-    CHECK(!world.hasTwoFigures());
+    bed.run(Millis::minutes(3));
+    CHECK(bed.billed("prompt_tokens") == 30 * 17);
+    CHECK(bed.billed("requests") == 60);
+    CHECK(!bed.hasConflictingFigures());
     CHECK(a.reporter->unreported() == 0);
 }
 
-// The platform's answer to a report is lost, and the holder with it. The next holder repeats the
-// report after more use was counted; a client must not find two figures for one window.
-TEST_CASE("a repeated report carries the same figures, also from another holder")
+// The platform's reply to a report is lost, and then the holder fails. The next holder sends the
+// report again after more usage was counted; a client must not receive two sets of figures
+// for one window.
+TEST_CASE("a report that is sent again carries the same figures, also from another holder")
 {
-    const auto play = [](World &world) {
-        Node &a = world.add("a");
-        Node &b = world.add("b");
-        world.giveDuty(a, 1, Millis::seconds(200));
-        world.network.setHook([&](const FakeMessage &message) {
+    const auto runScenario = [](UsageTestBed &bed) {
+        Node &a = bed.add("a");
+        Node &b = bed.add("b");
+        bed.assignDuty(a, 1, Millis::seconds(200));
+        bed.network.setHook([&](const FakeMessage &message) {
             MessageFate fate;
             const bool isReport = message.endpoint == FakeUsageReceiver::endpoint;
             fate.lost = isReport && message.leg == MessageLeg::Reply && message.process == "a";
             return fate;
         });
         for (int i = 0; i < 25; ++i) {
-            world.use(a, 10);
-            world.use(b, 7);
-            world.run(Millis::seconds(7));
+            bed.addUsageAt(a, 10);
+            bed.addUsageAt(b, 7);
+            bed.run(Millis::seconds(7));
         }
-        world.run(Millis::seconds(60));
-        world.giveDuty(b, 2, longLease);
-        world.use(a, 100);
-        world.run(Millis::minutes(4));
+        bed.run(Millis::seconds(60));
+        bed.assignDuty(b, 2, longLease);
+        bed.addUsageAt(a, 100);
+        bed.run(Millis::minutes(4));
     };
-    World world;
-    play(world);
-    CHECK(!world.hasTwoFigures());
-    CHECK(world.billed("prompt_tokens") == 25 * 17 + 100);
+    UsageTestBed bed;
+    runScenario(bed);
+    CHECK(!bed.hasConflictingFigures());
+    CHECK(bed.billed("prompt_tokens") == 25 * 17 + 100);
 
     DisabledGuard disabled(Guard::ReportFromSeal);
-    World unguarded;
-    play(unguarded);
-    CHECK(unguarded.hasTwoFigures());
+    UsageTestBed unguarded;
+    runScenario(unguarded);
+    CHECK(unguarded.hasConflictingFigures());
 }
 
-// An instance cannot reach the store for a while, and its use arrives after its window was sealed.
-// The sealed figures stay; the use appears in the next window, marked, so that the bill adds up.
-TEST_CASE("late use goes into the next window and is marked")
+// An instance cannot reach the store for a while, and its usage arrives after its window was
+// sealed. The sealed figures stay unchanged; the usage appears in the next window, marked
+// as late, so that the bill adds up.
+TEST_CASE("late usage is part of the next window and is marked")
 {
-    World world;
-    Node &a = world.add("a");
-    Node &b = world.add("b");
-    world.giveDuty(a, 1, longLease);
-    world.run(Millis::seconds(5));
-    world.use(b, 50);
-    world.network.setCut("b", "*", true);
-    world.run(Millis::seconds(85));
-    world.network.setCut("b", "*", false);
-    world.run(Millis::minutes(3));
-    CHECK(world.billed("prompt_tokens") == 50);
-    CHECK(world.billed("late") == 50);
-    CHECK(!world.hasTwoFigures());
+    UsageTestBed bed;
+    Node &a = bed.add("a");
+    Node &b = bed.add("b");
+    bed.assignDuty(a, 1, longLease);
+    bed.run(Millis::seconds(5));
+    bed.addUsageAt(b, 50);
+    bed.network.setCut("b", "*", true);
+    bed.run(Millis::seconds(85));
+    bed.network.setCut("b", "*", false);
+    bed.run(Millis::minutes(3));
+    CHECK(bed.billed("prompt_tokens") == 50);
+    CHECK(bed.billed("late") == 50);
+    CHECK(!bed.hasConflictingFigures());
 }
 
-// An instance dies with counts in memory. What it had written is billed once and its object is
-// cleared away; what it had not written is lost, and that is at most one flush period's.
-TEST_CASE("a dead instance's counters are closed, and the loss is bounded")
+// An instance dies with unwritten counts. What it had written is billed once and its object is
+// removed; what it had not written is lost, which is at most the usage of one flush interval.
+TEST_CASE("the counters of a dead instance are closed, and the loss is bounded")
 {
-    World world;
-    Node &a = world.add("a");
-    Node &b = world.add("b");
-    world.giveDuty(a, 1, longLease);
+    UsageTestBed bed;
+    Node &a = bed.add("a");
+    Node &b = bed.add("b");
+    bed.assignDuty(a, 1, longLease);
     for (int second = 0; second < 45; ++second) {
-        world.use(b, 1);
-        world.run(Millis::seconds(1));
+        bed.addUsageAt(b, 1);
+        bed.run(Millis::seconds(1));
     }
     b.process->kill();
-    world.run(Millis::minutes(8));
-    CHECK(world.billed("prompt_tokens") <= 45);
-    CHECK(world.billed("prompt_tokens") >= 45 - 12);
-    CHECK(world.store.value(UsageFlusher::prefix(team) + "b-1").empty());
-    CHECK(!world.hasTwoFigures());
+    bed.run(Millis::minutes(8));
+    CHECK(bed.billed("prompt_tokens") <= 45);
+    CHECK(bed.billed("prompt_tokens") >= 45 - 12);
+    CHECK(bed.store.value(UsageFlusher::prefix(team) + "b-1").empty());
+    CHECK(!bed.hasConflictingFigures());
 }
 
-// An instance is taken for dead while it is only paused. Its counters were folded and removed;
-// when it goes on, what it counts must be billed without billing the old figures again.
-TEST_CASE("an instance that was taken for dead goes on counting without counting twice")
+// An instance is considered dead while it is only paused. Its counters were folded and removed;
+// when it continues, what it counts must be billed without billing the old counts again.
+TEST_CASE("an instance that was wrongly considered dead continues without counting twice")
 {
-    World world;
-    Node &a = world.add("a");
-    Node &b = world.add("b");
-    world.giveDuty(a, 1, longLease);
-    world.use(b, 40);
-    world.run(Millis::seconds(20));
-    b.life = "unknown";
+    UsageTestBed bed;
+    Node &a = bed.add("a");
+    Node &b = bed.add("b");
+    bed.assignDuty(a, 1, longLease);
+    bed.addUsageAt(b, 40);
+    bed.run(Millis::seconds(20));
+    b.incarnationName = "unknown";
     b.process->pauseUntil(Millis::minutes(10));
-    world.run(Millis::minutes(11));
-    CHECK(world.billed("prompt_tokens") == 40);
-    world.use(b, 5);
-    world.run(Millis::minutes(4));
-    CHECK(world.billed("prompt_tokens") == 45);
-    CHECK(!world.hasTwoFigures());
+    bed.run(Millis::minutes(11));
+    CHECK(bed.billed("prompt_tokens") == 40);
+    bed.addUsageAt(b, 5);
+    bed.run(Millis::minutes(4));
+    CHECK(bed.billed("prompt_tokens") == 45);
+    CHECK(!bed.hasConflictingFigures());
 }
 
-// A planned stop must lose nothing.
-TEST_CASE("a planned stop writes everything")
+// A planned stop must lose no usage.
+TEST_CASE("a planned stop writes all counts")
 {
-    World world;
-    Node &a = world.add("a");
-    Node &b = world.add("b");
-    world.giveDuty(a, 1, longLease);
-    world.use(b, 40);
+    UsageTestBed bed;
+    Node &a = bed.add("a");
+    Node &b = bed.add("b");
+    bed.assignDuty(a, 1, longLease);
+    bed.addUsageAt(b, 40);
     b.flusher->stop();
-    world.run(Millis(500));
+    bed.run(Millis(500));
     CHECK(b.flusher->isFlushed());
     b.process->kill();
-    world.run(Millis::minutes(4));
-    CHECK(world.billed("prompt_tokens") == 40);
+    bed.run(Millis::minutes(4));
+    CHECK(bed.billed("prompt_tokens") == 40);
 }
 
-// Two instances both believe to be in charge, one of them with counters it read earlier. The
-// window must have one set of figures whoever comes first.
-TEST_CASE("two who seal the same window report the same figures")
+// Two instances both consider themselves the holder, one of them with stale counters. The window
+// must have one set of figures whichever seals it first.
+TEST_CASE("two holders that seal the same window report the same figures")
 {
-    const auto play = [](World &world) {
-        Node &a = world.add("a");
-        Node &b = world.add("b");
-        world.giveDuty(a, 1, longLease);
-        world.giveDuty(b, 2, longLease);
-        world.store.setReadLag("b", Millis::seconds(25));
+    const auto runScenario = [](UsageTestBed &bed) {
+        Node &a = bed.add("a");
+        Node &b = bed.add("b");
+        bed.assignDuty(a, 1, longLease);
+        bed.assignDuty(b, 2, longLease);
+        bed.store.setReadLag("b", Millis::seconds(25));
         for (int i = 0; i < 60; ++i) {
-            world.use(a, 10);
-            world.run(Millis::seconds(5));
+            bed.addUsageAt(a, 10);
+            bed.run(Millis::seconds(5));
         }
-        world.run(Millis::minutes(3));
+        bed.run(Millis::minutes(3));
     };
-    World world;
-    play(world);
-    CHECK(!world.hasTwoFigures());
-    CHECK(world.billed("prompt_tokens") == 600);
+    UsageTestBed bed;
+    runScenario(bed);
+    CHECK(!bed.hasConflictingFigures());
+    CHECK(bed.billed("prompt_tokens") == 600);
 
     DisabledGuard disabled(Guard::SealCreatedOnce);
-    World unguarded;
-    play(unguarded);
-    CHECK(unguarded.hasTwoFigures());
+    UsageTestBed unguarded;
+    runScenario(unguarded);
+    CHECK(unguarded.hasConflictingFigures());
 }
 
-// Answers of the store are lost at random over a long time. The bill must come out right.
-TEST_CASE("lost answers change no bill")
+// Messages are lost at random over a long time. The bill must be correct.
+TEST_CASE("lost messages do not change the bill")
 {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         INFO("seed " << seed);
-        World world;
+        UsageTestBed bed;
         RandomHook random = seededRandom(seed);
-        Node &a = world.add("a");
-        Node &b = world.add("b");
-        world.giveDuty(a, 1, longLease);
-        world.network.setHook([&](const FakeMessage &) {
+        Node &a = bed.add("a");
+        Node &b = bed.add("b");
+        bed.assignDuty(a, 1, longLease);
+        bed.network.setHook([&](const FakeMessage &) {
             MessageFate fate;
             fate.lost = random() % 8 == 0;
             return fate;
         });
         for (int i = 0; i < 40; ++i) {
-            world.use(a, 10);
-            world.use(b, 7);
-            world.run(Millis::seconds(7));
+            bed.addUsageAt(a, 10);
+            bed.addUsageAt(b, 7);
+            bed.run(Millis::seconds(7));
         }
-        world.run(Millis::minutes(5));
-        CHECK(world.billed("prompt_tokens") == 40 * 17);
-        CHECK(!world.hasTwoFigures());
+        bed.run(Millis::minutes(5));
+        CHECK(bed.billed("prompt_tokens") == 40 * 17);
+        CHECK(!bed.hasConflictingFigures());
     }
 }
 
-TEST_CASE("windows are named by the calendar")
+TEST_CASE("windows are named after calendar time")
 {
     const UsageWindows fiveMinutes(Millis::minutes(5));
     CHECK(fiveMinutes.nameOf(fiveMinutes.indexAt(Millis(1796206500000))) == "2026-12-02T10:15:00");
     CHECK(fiveMinutes.nameOf(0) == "1970-01-01T00:00:00");
 }
 
-TEST_CASE("the flush period keeps the store's writes bounded at any size")
+TEST_CASE("the flush interval bounds the writes to the store for any number of instances")
 {
     CHECK(flushPeriod(8, 3) == Millis::seconds(10));
     CHECK(flushPeriod(370, 10) == Millis(92500));
--- a/modules/usage/usage.h
+++ b/modules/usage/usage.h
@@ -1,12 +1,14 @@
 #pragma once
 
 /**
-    Usage: counted at every instance, merged per team, sealed once a window, reported from the seal.
+    Usage: counted at every instance, merged per team, sealed once per window, reported from the
+    seal.
 
-    Purpose: no window is ever reported with two different figures. Counters are cumulative per
-    life of an instance, so that merging them twice counts nothing twice. See docs/USAGE.md.
+    Purpose: no window is ever reported with two different sets of figures. Counters are cumulative
+    per incarnation of an instance, so that merging them twice counts nothing twice. See
+    docs/USAGE.md.
 
-    Runs on an instance's control thread; request threads hand their sums over.
+    Runs on an instance's control thread; request threads hand over their counts.
 
     Depends on: core, ports, lease, nlohmann-json.
 */
