--- a/modules/orders/keeper/OrderKeeper.h
+++ b/modules/orders/keeper/OrderKeeper.h
@@ -24,9 +24,9 @@
 /**
     Issues the orders of one duty (a failure domain) to its engines.
 
-    Connect taken() and lost() to the lease of the duty. Loads are queued here until the weight
-    store grants a ticket, the most urgent first; all other orders go to the controller of the
-    engine at once.
+    Connect onLeaseAcquired() and onLeaseLost() to the lease of the duty. Loads are queued here
+   until the weight store grants a ticket, the most urgent first; all other orders go to the
+   controller of the engine at once.
 
     @see EngineOrderController, docs/ORDERS.md
 */
