--- a/modules/dispatch/claims/ClaimKeeper_test.cpp
+++ b/modules/dispatch/claims/ClaimKeeper_test.cpp
@@ -92,6 +92,7 @@
 
 } // namespace
 
+// Guards against a second run when the caller repeats a completed call at another instance.
 TEST_CASE("a duplicate at another instance gets the stored response")
 {
     ClaimTestBed bed;
@@ -138,6 +139,8 @@
     CHECK(bed.runs == 1);
 }
 
+// Guards against a second run after one that may have run, and against a refusal after one that did
+// not run.
 TEST_CASE("the outcome of the first run determines the decision for a duplicate")
 {
     struct Row
@@ -293,6 +296,7 @@
     }
 }
 
+// Guards against a replayed response whose body was altered because it is not valid UTF-8.
 TEST_CASE("claim records preserve every byte")
 {
     std::string everyByte;
--- a/modules/dispatch/retry/RetryPolicy_test.cpp
+++ b/modules/dispatch/retry/RetryPolicy_test.cpp
@@ -25,6 +25,8 @@
 
 } // namespace
 
+// Guards against a retry of a non-idempotent call that may have run, and against a retry that is
+// withheld without need.
 TEST_CASE("the verdict and whether the call is idempotent decide about a retry")
 {
     struct Row
@@ -71,6 +73,7 @@
           == RetryDecision::ResponseStarted);
 }
 
+// Guards against load from retries whose response would come too late for the caller.
 TEST_CASE("no retry starts that cannot complete before the deadline")
 {
     RetryBudget budget;
@@ -83,6 +86,7 @@
           == RetryDecision::DeadlineNear);
 }
 
+// Guards against a request that is retried without end while the budget lasts.
 TEST_CASE("the number of attempts per request is limited")
 {
     RetryBudget budget;
--- a/modules/feeds/follower/FeedDelay_test.cpp
+++ b/modules/feeds/follower/FeedDelay_test.cpp
@@ -109,8 +109,7 @@
 
 // Guards against requests to upstreams that have left: the store refuses the watchers, and the
 // substitute does not distribute its updates in time.
-TEST_CASE(
-    "all instances learn of leaving upstreams in time while the store refuses a third of them")
+TEST_CASE("all learn of leaving upstreams in time while the store refuses a third of the instances")
 {
     struct Row
     {
--- a/modules/feeds/follower/FeedGroup_test.cpp
+++ b/modules/feeds/follower/FeedGroup_test.cpp
@@ -67,8 +67,7 @@
 
 // The store refuses the watchers and serves the others. Another instance substitutes for them, so
 // frequent further calls would only add to what the store has to refuse.
-TEST_CASE(
-    "watchers that the store refuses rarely retry while another instance substitutes for them")
+TEST_CASE("watchers that the store refuses retry rarely while a substitute is active")
 {
     FeedCluster cluster(1, 20, true, 6);
     cluster.scheduler.runFor(Millis::seconds(5));
--- a/modules/feeds/follower/WatchCoordinator_test.cpp
+++ b/modules/feeds/follower/WatchCoordinator_test.cpp
@@ -29,8 +29,9 @@
 
 } // namespace
 
-TEST_CASE(
-    "attempts follow the order of ranks, quickly in silence and one at a time in a store outage")
+// Guards against hundreds of instances that call a failed store at once, and against a long gap in
+// updates after all watchers are gone.
+TEST_CASE("attempts follow the ranks, quickly in silence and one at a time in a store outage")
 {
     struct Row
     {
@@ -58,8 +59,7 @@
 
 // Guards against seconds without updates although every watcher already reports that the store
 // refuses it.
-TEST_CASE(
-    "attempts begin at once when the store refuses all watchers, unless it serves another instance")
+TEST_CASE("attempts begin at once when the store refuses all watchers and serves no other")
 {
     for (const std::size_t rank : {std::size_t{2}, std::size_t{5}}) {
         CAPTURE(rank);
@@ -82,6 +82,8 @@
     }
 }
 
+// Guards against one low rank that keeps calling a store that refuses it, while an instance that
+// the store serves waits for its attempt.
 TEST_CASE("after a failed attempt an instance waits until all others have had their attempts")
 {
     WatchCoordinator coordinator = coordinatorOf(5);
@@ -107,6 +109,7 @@
     CHECK_FALSE(lower.mayWatch(now));
 }
 
+// Guards against a timing in which the age of the confirmations alone uses up the permitted delay.
 TEST_CASE("the timing leaves room for an attempt and a call within the permitted delay")
 {
     for (const int maxDelay : {2000, 3000, 4000, 6000}) {
--- a/modules/feeds/messages/FeedMessages_test.cpp
+++ b/modules/feeds/messages/FeedMessages_test.cpp
@@ -20,6 +20,8 @@
 
 } // namespace
 
+// Guards against a field that is lost or exchanged on the wire, or an update that another decoder
+// accepts.
 TEST_CASE("an update survives encoding and decoding")
 {
     const auto frame = encodeFeedUpdate(someUpdate());
@@ -38,6 +40,8 @@
     CHECK_FALSE(decodeFeedHeartbeat(*frame));
 }
 
+// Guards against a whole state of 840 upstreams that exceeds the size of a frame, which it would
+// without compression.
 TEST_CASE("a list of many upstreams fits into a frame and survives decoding")
 {
     FeedUpdate update = someUpdate();
@@ -59,6 +63,7 @@
     CHECK(decoded->objects.back().value == update.objects.back().value);
 }
 
+// Guards against a relay that forwards to fewer receivers, as after a truncated frame.
 TEST_CASE("a delivery keeps its receivers, and truncated ones are rejected")
 {
     const FeedDelivery sent{*encodeFeedUpdate(someUpdate()), {"10.0.0.7:7100", "10.0.0.8:7100"}};
@@ -88,6 +93,7 @@
     CHECK_FALSE(encodeFeedUpdate(update));
 }
 
+// Guards against a damaged frame that crashes the decoder or yields more objects than were sent.
 TEST_CASE("damaged updates are rejected or stay within bounds")
 {
     const RandomHook random = seededRandom(31);
@@ -106,6 +112,7 @@
     }
 }
 
+// Guards against a truncated heartbeat that confirms a replica as current.
 TEST_CASE("a heartbeat survives encoding and decoding, and truncated ones are rejected")
 {
     const FeedHeartbeat sent{{{{40, 31, Millis(250)}, {41, 41, Millis(0)}}}};
@@ -121,6 +128,7 @@
         CHECK_FALSE(decodeFeedHeartbeat(frame.substr(0, length)));
 }
 
+// Guards against a damaged query that selects a feed that does not exist.
 TEST_CASE("a query survives encoding and decoding, and damaged ones are rejected")
 {
     const std::string frame = encodeFeedQuery({FeedKind::Upstreams, 77});
--- a/modules/lease/keeper/LeaseKeeper_test.cpp
+++ b/modules/lease/keeper/LeaseKeeper_test.cpp
@@ -145,6 +145,8 @@
     CHECK(!paused.manager->authority("domain/kgl-a", cluster.scheduler.now() + paused.clockOffset));
 }
 
+// Guards against a duty without a holder for a whole term whenever an instance is stopped for an
+// upgrade.
 TEST_CASE("a planned stop hands the duty over without a wait for the term")
 {
     Cluster cluster;
@@ -215,6 +217,7 @@
     CHECK(cluster.maxHolders == 1);
 }
 
+// Guards against an instance that started first and keeps all duties after others have joined.
 TEST_CASE("duties are balanced, also over instances that join later")
 {
     Cluster cluster;
--- a/modules/orders/keeper/OrderKeeper_test.cpp
+++ b/modules/orders/keeper/OrderKeeper_test.cpp
@@ -123,6 +123,8 @@
 
 } // namespace
 
+// Guards against a second order that is accepted while the first one is unsettled, and an order
+// that is sent twice.
 TEST_CASE("an order is recorded, sent, executed and settled")
 {
     for (const bool checksFence : {false, true}) {
--- a/modules/usage/seal/UsageReporter_test.cpp
+++ b/modules/usage/seal/UsageReporter_test.cpp
@@ -140,6 +140,7 @@
 
 } // namespace
 
+// Guards against usage that is lost or counted twice when counters of several instances are merged.
 TEST_CASE("usage at several instances is billed once")
 {
     UsageTestBed bed;
@@ -323,6 +324,8 @@
     }
 }
 
+// Guards against an error in the conversion of calendar time, which would bill usage under a wrong
+// window.
 TEST_CASE("windows are named after calendar time")
 {
     const UsageWindows fiveMinutes(Millis::minutes(5));
@@ -330,6 +333,7 @@
     CHECK(fiveMinutes.nameOf(0) == "1970-01-01T00:00:00");
 }
 
+// Guards against writes that grow with instances and teams beyond what the store permits.
 TEST_CASE("the flush interval bounds the writes to the store for any number of instances")
 {
     CHECK(flushPeriod(8, 3) == Millis::seconds(10));
