--- a/modules/dispatch/claims/ClaimRecord.cpp
+++ b/modules/dispatch/claims/ClaimRecord.cpp
@@ -43,22 +43,22 @@
     return bytes;
 }
 
-Json responseToJson(const StoredAnswer &answer)
+Json responseToJson(const StoredAnswer &response)
 {
-    return {{"status", answer.status},
-            {"content_type", bytesToText(answer.contentType)},
-            {"body", bytesToText(answer.body)},
-            {"complete", answer.complete}};
+    return {{"status", response.status},
+            {"content_type", bytesToText(response.contentType)},
+            {"body", bytesToText(response.body)},
+            {"complete", response.complete}};
 }
 
 StoredAnswer responseFromJson(const Json &json)
 {
-    StoredAnswer answer;
-    answer.status = json.at("status").get<unsigned>();
-    answer.contentType = textToBytes(json.at("content_type").get<std::string>());
-    answer.body = textToBytes(json.at("body").get<std::string>());
-    answer.complete = json.at("complete").get<bool>();
-    return answer;
+    StoredAnswer response;
+    response.status = json.at("status").get<unsigned>();
+    response.contentType = textToBytes(json.at("content_type").get<std::string>());
+    response.body = textToBytes(json.at("body").get<std::string>());
+    response.complete = json.at("complete").get<bool>();
+    return response;
 }
 
 } // namespace
