--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -89,7 +89,7 @@
           [this](const PeerAddress &from, const std::string &frame) { onPeerFrame(from, frame); }),
       bookTick_(environment_.deadlines,
                 [this] {
-                    context_.books->tick();
+                    context_.prefillExchange->tick();
                     context_.quotas->tick();
                     context_.quarantine->tick();
                     context_.limits->tick();
@@ -102,7 +102,7 @@
       scale_(context_, [this] { return lease_.authority(); }), timer_(environment_.io)
 {
     context_.events = environment_.events;
-    context_.onBegan = [this](const std::string &customer) { usage_.count(customer); };
+    context_.onExecutionStarted = [this](const std::string &customer) { usage_.count(customer); };
     sync_.onConfiguration = [this] { applyLimits(); };
     feeds_.isLinked = [this](const PeerAddress &peer) { return fabric_.isLinked(peer); };
     sync_.onLearned = [this](const FeedUpdate &update) { feeds_.passOn(update); };
@@ -120,9 +120,9 @@
                                         environment_.random, environment_.events});
     context_.quarantine->setLinkCheck(feeds_.isLinked);
     if (settings_.links.isSet()) {
-        context_.books = std::make_unique<BookExchange>(settings_.links.toString(),
+        context_.prefillExchange = std::make_unique<BookExchange>(settings_.links.toString(),
                                                         fabric_.transport(), environment_.clock);
-        context_.books->hadReadNothing = [this](EngineKey engine, Millis at) {
+        context_.prefillExchange->hadReadNothing = [this](EngineKey engine, Millis at) {
             return hadReadNothing(engine, at);
         };
         bookTick_.setAfter(bookTickEvery);
@@ -205,7 +205,7 @@
     GatewayGauges gauges;
     gauges.isReady = isReady();
     gauges.configurationVersion = context_.index == nullptr ? 0 : context_.index->version();
-    gauges.configurationAgeSeconds = (now - context_.configurationConfirmed).toSeconds();
+    gauges.configurationAgeSeconds = (now - context_.configurationConfirmedAt).toSeconds();
     gauges.upstreamsAgeSeconds = (now - context_.upstreamsConfirmed).toSeconds();
     gauges.upstreams = context_.directory.size();
     gauges.callerConnections = callers_.openConnections();
@@ -305,8 +305,8 @@
     sync_.stop();
     fabric_.stop();
     // Questions hold requests, which refer to what goes before the books do.
-    if (context_.books)
-        context_.books->dropQuestions();
+    if (context_.prefillExchange)
+        context_.prefillExchange->dropQuestions();
     context_.quotas->dropQuestions();
     context_.limits->dropQuestions();
     callers_.closeAll();
--- a/modules/gateway/GatewayPeers.cpp
+++ b/modules/gateway/GatewayPeers.cpp
@@ -17,7 +17,7 @@
 
 void Gateway::tickPeers()
 {
-    if (!context_.books)
+    if (!context_.prefillExchange)
         return;
     fabric_.tick();
     setReach();
@@ -35,8 +35,8 @@
         context_.limits->setPeers(peers);
     }
     context_.quarantine->setPeers(peers);
-    context_.books->setPeers(std::move(peers));
-    fabric_.holdLinks(context_.books->keepers());
+    context_.prefillExchange->setPeers(std::move(peers));
+    fabric_.holdLinks(context_.prefillExchange->keepers());
     joinGroup();
 }
 
@@ -86,7 +86,7 @@
         || context_.quotas->received(from, frame) || context_.quarantine->received(from, frame)
         || context_.limits->received(from, frame);
     if (!isTaken)
-        context_.books->received(from, frame);
+        context_.prefillExchange->received(from, frame);
 }
 
 std::vector<PeerAddress> Gateway::ledgerCollectors()
--- a/modules/gateway/admin/GatewayMetrics.cpp
+++ b/modules/gateway/admin/GatewayMetrics.cpp
@@ -173,11 +173,11 @@
     set("cuminrail_sends", "Sends to upstreams since the start",
         static_cast<double>(counters.sends));
     set("cuminrail_repeats", "Sends beyond a request's first",
-        static_cast<double>(counters.repeats));
+        static_cast<double>(counters.retries));
     set("cuminrail_resumes", "Streams that went on at another upstream",
         static_cast<double>(counters.resumes));
     set("cuminrail_held", "Prompts that waited at the instance until engines had room",
-        static_cast<double>(counters.held));
+        static_cast<double>(counters.deferred));
     set("cuminrail_hand_overs", "Prompts read by a prefill engine first",
         static_cast<double>(counters.handOvers));
     set("cuminrail_hand_overs_failed", "Of these, given up",
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -53,7 +53,7 @@
             takeConfiguration(object);
     };
     hooks.onChanged = [this](const StoreObject &object) { takeConfiguration(object); };
-    hooks.onCurrent = [this] { context_.configurationConfirmed = context_.now(); };
+    hooks.onCurrent = [this] { context_.configurationConfirmedAt = context_.now(); };
     return hooks;
 }
 
@@ -174,8 +174,8 @@
         // Another life of the same upstream holds nothing and knows nothing of the former one.
         context_.health.forget(id);
         context_.engines.forget(id);
-        if (context_.books)
-            context_.books->forget(engineKey(*known));
+        if (context_.prefillExchange)
+            context_.prefillExchange->forget(engineKey(*known));
     }
     context_.directory.update(*entry, context_.now());
     context_.events(Event{&events::upstreamListed,
--- a/modules/gateway/request/RelayAnswer.cpp
+++ b/modules/gateway/request/RelayAnswer.cpp
@@ -7,34 +7,35 @@
 
 namespace {
 
-/** Answers that are no streams are held whole, so that a broken one can still become an error. */
-constexpr std::size_t mostBufferedBytes = 16U << 20U;
-/** Two thirds of the tightest present goal: soon enough to be on time, late enough for a change. */
-constexpr Millis leastComeBack = Millis(250);
-/** Returns are spread at least over this. */
-constexpr Millis comeBackSpread = Millis(300);
+/** Responses other than streams are buffered whole, so that a truncated one becomes an error. */
+constexpr std::size_t maxBufferedBytes = 16U << 20U;
+/** Two thirds of the tightest latency goal: a retry can still be on time, and load may change. */
+constexpr Millis minRetryAfter = Millis(250);
+/** Callers' retries are spread at least over this time. */
+constexpr Millis minRetryJitter = Millis(300);
 
 } // namespace
 
 void RequestRelay::onHead(HttpHead &head)
 {
-    silence_.clear();
+    silenceTimer_.clear();
     const UpstreamPointer &upstream =
         attempt_.isPrefill ? attempt_.choice->prefill : attempt_.upstream;
     context_.health.progressed(upstream->entry.id, context_.now());
     attempt_.status = head.status;
     attempt_.traits = context_.wire.decodeAnswer(head);
-    attempt_.isForeign =
+    attempt_.isInvalid =
         head.find(context_.wire.identityHeader) == nullptr && !attempt_.traits.isRefusedUnrun;
-    if (!attempt_.isForeign && !attempt_.traits.isOtherUpstream)
+    if (!attempt_.isInvalid && !attempt_.traits.isOtherUpstream)
         noteLimit(upstream->entry);
     if (attempt_.isPrefill)
         return;
     const bool isSuccess = head.status >= 200 && head.status < 300;
-    // Whoever else answered, a caller would take it for the upstream's own answer.
+    // A success that the upstream does not vouch for may come from another server at its address.
+    // Relayed, the caller would take it for the upstream's response.
     if (isSuccess && !attempt_.traits.isVouchedFor)
-        attempt_.isForeign = true;
-    if (attempt_.isForeign)
+        attempt_.isInvalid = true;
+    if (attempt_.isInvalid)
         return;
     attempt_.headers = context_.wire.callerHeaders(head);
     attempt_.isStreaming = isSuccess && route_->kind == RouteKind::Stream;
@@ -42,36 +43,36 @@
 
 void RequestRelay::onBody(std::string_view data)
 {
-    if (isOver_ || attempt_.isForeign || attempt_.traits.isRefusedUnrun)
+    if (hasEnded_ || attempt_.isInvalid || attempt_.traits.isRefusedUnrun)
         return;
     if (!attempt_.isStreaming) {
-        if (attempt_.body.size() + data.size() <= mostBufferedBytes)
+        if (attempt_.body.size() + data.size() <= maxBufferedBytes)
             attempt_.body.append(data);
         else
-            attempt_.isForeign = true;
+            attempt_.isInvalid = true;
         return;
     }
-    if (!events_.feed(data))
-        attempt_.isForeign = true;
+    if (!sseReader_.feed(data))
+        attempt_.isInvalid = true;
 }
 
 void RequestRelay::onEvent(const SseEvent &event)
 {
-    if (isOver_)
+    if (hasEnded_)
         return;
-    promptRead();
+    notePrefillDone();
     if (attempt_.choice)
         context_.engines.runBegan(*attempt_.choice, context_.now());
-    began();
+    noteExecutionStarted();
     context_.health.progressed(attempt_.upstream->entry.id, context_.now());
-    // A resumed stream that begins too early would give the caller pieces twice.
-    if (event.number && lastEvent_ && *event.number <= *lastEvent_)
+    // A resumed stream can begin before the last relayed event; duplicate events are dropped.
+    if (event.number && lastEventId_ && *event.number <= *lastEventId_)
         return;
     if (event.number)
-        lastEvent_ = event.number;
-    if (!isAnswering_) {
-        isAnswering_ = true;
-        firstAnswer();
+        lastEventId_ = event.number;
+    if (!hasResponseStarted_) {
+        hasResponseStarted_ = true;
+        noteFirstResponse();
         exchange_->beginStream(attempt_.status, attempt_.headers);
     }
     noteEvent();
@@ -85,7 +86,7 @@
 void RequestRelay::noteEvent()
 {
     const Millis now = context_.now();
-    if (stream_.events++ == 0) {
+    if (stream_.eventCount++ == 0) {
         stream_.firstAt = now;
     } else {
         const Millis pause = now - stream_.lastAt;
@@ -95,54 +96,55 @@
     stream_.lastAt = now;
 }
 
-void RequestRelay::recordSign(AttemptSign sign)
+void RequestRelay::recordOutcome(AttemptSign outcome)
 {
-    context_.health.record(attempt_.upstream->entry.id, sign, context_.now());
+    context_.health.record(attempt_.upstream->entry.id, outcome, context_.now());
 }
 
-void RequestRelay::promptRead()
+void RequestRelay::notePrefillDone()
 {
-    if (!attempt_.choice || attempt_.isPromptRead)
+    if (!attempt_.choice || attempt_.isPrefillDone)
         return;
-    attempt_.isPromptRead = true;
+    attempt_.isPrefillDone = true;
     context_.metrics.promptRead((context_.now() - attempt_.sentAt).toSeconds());
     context_.engines.promptRead(*attempt_.choice, attempt_.sentAt, context_.now());
 }
 
-void RequestRelay::began()
+void RequestRelay::noteExecutionStarted()
 {
-    if (hasBegun_)
+    if (hasStarted_)
         return;
-    hasBegun_ = true;
-    if (!customer_.empty() && context_.onBegan)
-        context_.onBegan(customer_);
+    hasStarted_ = true;
+    if (!customer_.empty() && context_.onExecutionStarted)
+        context_.onExecutionStarted(customer_);
 }
 
-void RequestRelay::settleAttempt()
+void RequestRelay::closeAttempt()
 {
     if (!attempt_.isCounted)
         return;
     attempt_.isCounted = false;
-    if (context_.books)
-        context_.books->takeBack(entry_);
+    if (context_.prefillExchange)
+        context_.prefillExchange->takeBack(trackedPrefill_);
     if (attempt_.choice)
-        context_.engines.finished(*attempt_.choice, attempt_.isPromptRead, context_.now());
+        context_.engines.finished(*attempt_.choice, attempt_.isPrefillDone, context_.now());
     else
         context_.services.finished(attempt_.upstream->entry.id);
 }
 
-Millis RequestRelay::comeBackAfter() const
+Millis RequestRelay::callerRetryAfter() const
 {
-    // Room is foreseen no sooner than half of what others have waited for it in vain.
+    // Under overload, capacity is expected no sooner than after half of the time that the oldest
+    // deferred prompt has already waited.
     const bool isOverload = lastCause_ == GiveUpCause::Overload;
     const Millis queueAge =
-        isOverload ? context_.held.oldestAge(route_->name, context_.now()) : Millis(0);
-    const Millis room = lastCause_ == GiveUpCause::UpstreamLimit ? limitComeBack_ : Millis(0);
-    const Millis least = std::max({leastComeBack, queueAge / 2, room});
-    // Callers that were refused together must not come back together.
-    const auto spread = static_cast<std::uint64_t>(std::max(comeBackSpread, least).count());
-    return least
-        + Millis(static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id) % spread));
+        isOverload ? context_.deferredPrompts.oldestAge(route_->name, context_.now()) : Millis(0);
+    const Millis limitWait =
+        lastCause_ == GiveUpCause::UpstreamLimit ? limitRetryAfter_ : Millis(0);
+    const Millis base = std::max({minRetryAfter, queueAge / 2, limitWait});
+    // Callers that were refused together must not retry together.
+    const auto jitter = static_cast<std::uint64_t>(std::max(minRetryJitter, base).count());
+    return base + Millis(static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id) % jitter));
 }
 
 void RequestRelay::refuse(int status, GiveUpCause cause, std::optional<Millis> retryAfter,
@@ -152,41 +154,42 @@
     context_.metrics.gaveUp(cause, RequestOutcome::Refused);
     logEnd(events::requestRefused, status, cause, why);
     exchange_->respond(context_.wire.ownAnswer(status, inbound_.id, retryAfter, why));
-    over(RequestOutcome::Refused);
+    endRequest(RequestOutcome::Refused);
 }
 
 void RequestRelay::giveUp(GiveUpCause cause, const std::string &why)
 {
     const auto self = shared_from_this();
-    if (!isAnswering_ && !mayHaveRun_)
-        return refuse(503, cause, comeBackAfter(), why);
+    if (!hasResponseStarted_ && !mayHaveRun_)
+        return refuse(503, cause, callerRetryAfter(), why);
     ++context_.counters.failed;
     context_.metrics.gaveUp(cause, RequestOutcome::Failed);
-    if (isAnswering_) {
-        logEnd(events::requestFailed, 0, cause, "cut in the stream: " + why);
+    if (hasResponseStarted_) {
+        logEnd(events::requestFailed, 0, cause, "stream truncated: " + why);
         exchange_->abort();
     } else {
-        const int status = context_.now() >= endsAt_ ? 504 : 502;
+        const int status = context_.now() >= deadlineAt_ ? 504 : 502;
         logEnd(events::requestFailed, status, cause, why);
         exchange_->respond(context_.wire.ownAnswer(status, inbound_.id, std::nullopt, why));
     }
-    over(RequestOutcome::Failed);
+    endRequest(RequestOutcome::Failed);
 }
 
-void RequestRelay::firstAnswer()
+void RequestRelay::noteFirstResponse()
 {
     const Millis took = context_.now() - arrivedAt_;
     context_.metrics.firstAnswer(route_->kind, took.toSeconds());
 }
 
-void RequestRelay::over(RequestOutcome outcome)
+void RequestRelay::endRequest(RequestOutcome outcome)
 {
-    isOver_ = true;
-    deadline_.clear();
-    silence_.clear();
-    heldLook_.clear();
-    releaseHeld();
-    // A refusal says that it was not run. What was sent for a caller that left may have run.
+    hasEnded_ = true;
+    deadlineTimer_.clear();
+    silenceTimer_.clear();
+    deferralTimer_.clear();
+    leaveDeferredQueue();
+    // A refused request was not run, so its quota is returned. A request that was sent for a caller
+    // that left may have run.
     if (!wasSent_ || outcome == RequestOutcome::Refused)
         context_.quotas->giveBack(quotaGrant_);
     const Millis took = context_.now() - arrivedAt_;
--- a/modules/gateway/request/RelayChoice.cpp
+++ b/modules/gateway/request/RelayChoice.cpp
@@ -5,8 +5,8 @@
 bool RequestRelay::chooseAmong(const std::vector<UpstreamPointer> &upstreams)
 {
     if (route_->hasPrompts && inbound_.prompt)
-        return choosePrompt(upstreams);
-    return choosePlain(upstreams);
+        return chooseEngine(upstreams);
+    return chooseLeastLoaded(upstreams);
 }
 
 PlacementQuery RequestRelay::placementQuery() const
@@ -23,19 +23,20 @@
         return context_.health.isSetAside(id, context_.now());
     };
     query.offer = [this](const std::string &id) {
-        const auto found = offers_.find(id);
-        return found == offers_.end() ? std::nullopt : std::optional<ReadingOffer>(found->second);
+        const auto found = prefillEstimates_.find(id);
+        return found == prefillEstimates_.end() ? std::nullopt
+                                                : std::optional<ReadingOffer>(found->second);
     };
     return query;
 }
 
-bool RequestRelay::choosePrompt(const std::vector<UpstreamPointer> &upstreams)
+bool RequestRelay::chooseEngine(const std::vector<UpstreamPointer> &upstreams)
 {
     attempt_.choice = context_.engines.choose(upstreams, placementQuery());
-    // Only the first reading apart is free of charge. Another one is a send more, beside the run
-    // that follows; unnoticed, such sends took the whole system past its limit on repeats.
-    const bool isReadAgain = attempt_.choice && attempt_.choice->prefill && wasReadApart_;
-    if (isReadAgain && !context_.retries.takeRepeat(service_, context_.now())) {
+    // Only the first disaggregated prefill is free. Another one is an additional send besides the
+    // run that follows; uncounted, such sends took the whole system past its retry budget.
+    const bool isPrefillRetry = attempt_.choice && attempt_.choice->prefill && wasPrefillSent_;
+    if (isPrefillRetry && !context_.retries.takeRepeat(service_, context_.now())) {
         isHandOverAllowed_ = false;
         attempt_.choice = context_.engines.choose(upstreams, placementQuery());
     }
@@ -45,7 +46,7 @@
     return true;
 }
 
-bool RequestRelay::choosePlain(const std::vector<UpstreamPointer> &upstreams)
+bool RequestRelay::chooseLeastLoaded(const std::vector<UpstreamPointer> &upstreams)
 {
     LeastLoaded::Query query;
     query.ownDomain = context_.settings.failureDomain;
--- a/modules/gateway/request/RelayContext.h
+++ b/modules/gateway/request/RelayContext.h
@@ -20,7 +20,7 @@
 
 namespace cuminrail {
 
-/** What all requests of an instance share. Belongs to the event loop's thread. */
+/** State shared by all requests of an instance. Used only on the event loop's thread. */
 struct RelayContext
 {
     RelayContext(const GatewayWire &gatewayWire, DeadlineList &deadlineList,
@@ -36,30 +36,30 @@
     DeadlineList &deadlines;
     UpstreamPool &pool;
     const InstanceSettings &settings;
-    /** Null until the first configuration has been read. */
+    /** Routes of the configuration in force; null until the first configuration has been read. */
     std::shared_ptr<const RouteIndex> index;
-    /** When the store last confirmed that what is known here is current. */
-    Millis configurationConfirmed;
+    /** When the store last confirmed that the configuration and upstreams here are current. */
+    Millis configurationConfirmedAt;
     Millis upstreamsConfirmed;
     UpstreamDirectory directory;
     UpstreamHealth health;
     EnginePlacement engines;
     PromptDeferral deferral;
-    HeldPrompts held;
-    /** Null where instances have no links. */
-    std::unique_ptr<BookExchange> books;
-    /** Never null while requests come. */
+    HeldPrompts deferredPrompts;
+    /** Exchange of prefill estimates with other instances; null where instances have no links. */
+    std::unique_ptr<BookExchange> prefillExchange;
+    /** Never null while requests are accepted. */
     std::unique_ptr<QuotaExchange> quotas;
-    /** Never null while requests come. */
+    /** Never null while requests are accepted. */
     std::unique_ptr<QuarantineExchange> quarantine;
-    /** Never null while requests come. */
+    /** Never null while requests are accepted. */
     std::unique_ptr<LimitExchange> limits;
     LeastLoaded services;
     RetryAllowance retries;
     RelayCounters counters;
     GatewayMetrics metrics;
-    /** A request of a customer began to run at an upstream. */
-    std::function<void(const std::string &customer)> onBegan;
+    /** Called when a request of a customer has begun to run at an upstream; counts usage. */
+    std::function<void(const std::string &customer)> onExecutionStarted;
     EventSink events;
 };
 
--- a/modules/gateway/request/RelayCounters.h
+++ b/modules/gateway/request/RelayCounters.h
@@ -4,7 +4,7 @@
 
 namespace cuminrail {
 
-/** What an instance counted since its start. */
+/** Request counters of an instance since its start. */
 struct RelayCounters
 {
     std::uint64_t requests = 0;
@@ -14,12 +14,12 @@
     std::uint64_t callersLeft = 0;
     std::uint64_t timeouts = 0;
     std::uint64_t sends = 0;
-    std::uint64_t repeats = 0;
+    std::uint64_t retries = 0;
     std::uint64_t resumes = 0;
     std::uint64_t handOvers = 0;
     std::uint64_t handOversFailed = 0;
-    /** Prompts that waited here for engines to have room. */
-    std::uint64_t held = 0;
+    /** Prompts deferred at this instance until an engine had room. */
+    std::uint64_t deferred = 0;
     std::uint32_t inProgress = 0;
 };
 
--- a/modules/gateway/request/RelayEnd.cpp
+++ b/modules/gateway/request/RelayEnd.cpp
@@ -5,11 +5,11 @@
 
 void RequestRelay::onEnd(const UpstreamEnd &end)
 {
-    silence_.clear();
-    if (isOver_)
+    silenceTimer_.clear();
+    if (hasEnded_)
         return;
     const bool isPlainSuccess = end.kind == UpstreamEndKind::Complete && attempt_.status < 400;
-    if (!isPlainSuccess || attempt_.isForeign)
+    if (!isPlainSuccess || attempt_.isInvalid)
         logAttempt(end);
     if (attempt_.isPrefill)
         prefillEnded(end);
@@ -19,37 +19,37 @@
 
 void RequestRelay::runEnded(const UpstreamEnd &end)
 {
-    const bool isWhole = end.kind == UpstreamEndKind::Complete && !attempt_.isForeign
-        && !(attempt_.isStreaming && events_.hasPartial());
+    const bool isWhole = end.kind == UpstreamEndKind::Complete && !attempt_.isInvalid
+        && !(attempt_.isStreaming && sseReader_.hasPartial());
     if (isWhole && attempt_.traits.isRefusedUnrun)
-        return refusedUnrun();
+        return onNotExecuted();
     if (isWhole)
-        return answered();
+        return responseCompleted();
     attemptFailed(end);
 }
 
-void RequestRelay::refusedUnrun()
+void RequestRelay::onNotExecuted()
 {
-    // The upstream's own word that it did not run the request: it uses up no attempt, only a part
-    // of the limit on repeats.
+    // The upstream itself states that it did not run the request: this uses up no attempt, only
+    // part of the retry budget.
     ++refusals_;
     const std::string &id = attempt_.upstream->entry.id;
     if (attempt_.traits.isOtherUpstream)
         context_.directory.markMisplaced(id);
     else
-        recordSign(AttemptSign::Full);
+        recordOutcome(AttemptSign::Full);
     if (attempt_.choice)
         context_.engines.refused(id, context_.now());
     lastCause_ = GiveUpCause::Full;
     lastProblem_ = "the upstream refused it";
     tried_.insert(id);
-    // An engine that is full or changes its stage refuses what another could fetch and run; the
-    // prompt would otherwise have been read for nothing. The refusal was a send, so this is one
-    // more.
-    if (!handle_.empty() && refusals_ == 1 && hasOtherRunner() && takeRepeat())
-        return runElsewhere();
-    releaseHandle();
-    settleAttempt();
+    // An engine that is full or changing its stage refuses a prompt whose KV cache another engine
+    // could fetch and run; otherwise the prefill would be wasted. The refused attempt was a send,
+    // so this one is a retry.
+    if (!cacheHandle_.empty() && refusals_ == 1 && chooseOtherDecodeEngine() && takeRetry())
+        return runOnOtherEngine();
+    releaseCacheHandle();
+    closeAttempt();
     isHandOverAllowed_ = false;
     dispatch();
 }
@@ -58,7 +58,7 @@
 {
     lastProblem_ =
         std::string(upstreamEndKindNames.name(end.kind)) + ": " + end.lastReason.toString();
-    recordSign(AttemptSign::Broken);
+    recordOutcome(AttemptSign::Broken);
     tried_.insert(attempt_.upstream->entry.id);
     const UpstreamPointer upstream = attempt_.upstream;
     const bool mayHaveRun = end.verdict != Verdict::NotRun;
@@ -67,45 +67,46 @@
     if (mayHaveRun) {
         ++sends_;
         mayHaveRun_ = true;
-        // Without a sign of the upstream a run cannot be ruled out; a usage report counts it only
-        // when the upstream showed that it began.
-        handle_.clear();
+        // Without a statement of the upstream a run cannot be ruled out. Usage counts it only if
+        // the upstream showed that the run began.
+        cacheHandle_.clear();
     } else {
         ++connectFailures_;
-        // Nothing reached that engine, so what was read apart can be run by another one, as the
-        // first send still.
-        if (!handle_.empty() && connectFailures_ < mostConnectFailures && hasOtherRunner())
-            return runElsewhere();
-        releaseHandle();
+        // Nothing reached that engine, so another one can run the prefilled prompt. This still
+        // counts as the first send.
+        if (!cacheHandle_.empty() && connectFailures_ < maxConnectFailures
+            && chooseOtherDecodeEngine())
+            return runOnOtherEngine();
+        releaseCacheHandle();
     }
-    settleAttempt();
-    // After the second upstream that broke off, the next one is not risked before it is known
-    // whether the two ended.
-    const bool waits = hasBroken && route_->isRepeatable() && ++breaks_ > 1;
+    closeAttempt();
+    // After a second broken attempt, the request may be what crashes upstreams: the next upstream
+    // is not tried until it is known whether these two processes ended.
+    const bool awaitsProbe = hasBroken && route_->isRepeatable() && ++brokenAttempts_ > 1;
     if (hasBroken)
-        checkEnded(upstream, waits);
+        probeUpstream(upstream, awaitsProbe);
     if (mayHaveRun && !route_->isRepeatable())
-        return giveUpAsBefore();
-    if (isAnswering_)
+        return giveUpWithLastCause();
+    if (hasResponseStarted_)
         ++context_.counters.resumes;
-    if (!waits)
+    if (!awaitsProbe)
         dispatch();
 }
 
-void RequestRelay::answered()
+void RequestRelay::responseCompleted()
 {
     const bool isFailure = attempt_.status >= 500;
-    recordSign(isFailure ? AttemptSign::Failure : AttemptSign::Good);
+    recordOutcome(isFailure ? AttemptSign::Failure : AttemptSign::Good);
     context_.quarantine->ranToItsEnd(fingerprint());
     if (attempt_.status < 400 || isFailure)
-        began();
-    promptRead();
-    handle_.clear();
+        noteExecutionStarted();
+    notePrefillDone();
+    cacheHandle_.clear();
     ++sends_;
     mayHaveRun_ = true;
-    const bool couldImprove = isFailure && route_->kind == RouteKind::Safe
-        && sends_ < route_->maxAttempts && endsAt_ - context_.now() > route_->goal / 2;
-    if (couldImprove && context_.directory.usable(service_).size() > 1
+    const bool canRetry = isFailure && route_->kind == RouteKind::Safe
+        && sends_ < route_->maxAttempts && deadlineAt_ - context_.now() > route_->goal / 2;
+    if (canRetry && context_.directory.usable(service_).size() > 1
         && context_.retries.takeRepeat(service_, context_.now())) {
         tried_.insert(attempt_.upstream->entry.id);
         lastCause_ = GiveUpCause::Broken;
@@ -115,20 +116,20 @@
         attempt_.upstream = failed.upstream;
         context_.services.finished(failed.upstream->entry.id);
         if (choose()) {
-            useCredits();
-            ++context_.counters.repeats;
+            consumeCredits();
+            ++context_.counters.retries;
             return sendRun({});
         }
         context_.services.started(failed.upstream->entry.id);
         attempt_ = std::move(failed);
     }
-    settleAttempt();
+    closeAttempt();
     if (attempt_.isStreaming) {
-        if (!isAnswering_)
+        if (!hasResponseStarted_)
             exchange_->beginStream(attempt_.status, attempt_.headers);
         exchange_->finish();
     } else {
-        firstAnswer();
+        noteFirstResponse();
         HttpAnswer answer;
         answer.status = attempt_.status;
         answer.headers = std::move(attempt_.headers);
@@ -137,7 +138,7 @@
     }
     ++(attempt_.status < 400 ? context_.counters.served : context_.counters.failed);
     logEnd(events::requestServed, attempt_.status);
-    over(attempt_.status < 400 ? RequestOutcome::Served : RequestOutcome::UpstreamError);
+    endRequest(attempt_.status < 400 ? RequestOutcome::Served : RequestOutcome::UpstreamError);
 }
 
 } // namespace cuminrail
--- a/modules/gateway/request/RelayHandOver.cpp
+++ b/modules/gateway/request/RelayHandOver.cpp
@@ -6,20 +6,21 @@
 
 namespace {
 
-/** The least that a reader may show nothing: the usual delay of a busy one. */
-constexpr Millis leastReaderPatience = Millis(1500);
-/** Estimates may miss other instances' prompts; a reading may take a multiple of what they say. */
-constexpr std::int64_t readerPatienceFactor = 3;
+/** Shortest silence timeout of a prefill engine: the usual delay of a busy one. */
+constexpr Millis minPrefillTimeout = Millis(1500);
+/** Estimates may miss other instances' prompts, so a prefill may take a multiple of them. */
+constexpr std::int64_t prefillTimeoutFactor = 3;
 
 } // namespace
 
-Millis RequestRelay::readerPatience() const
+Millis RequestRelay::prefillSilenceTimeout() const
 {
-    // Reading apart runs nothing, so it can always be done elsewhere; half of the time is kept for
-    // that. A reader that answers others is waited for beyond this.
-    const Millis expected(static_cast<std::int64_t>(attempt_.choice->expectedMillis));
-    const Millis half = (endsAt_ - context_.now()) / 2;
-    return std::min(std::max(leastReaderPatience, expected * readerPatienceFactor), half);
+    // A disaggregated prefill does not run the request, so it can always be redone elsewhere; half
+    // of the remaining time is reserved for that. A prefill engine that responds to other requests
+    // is given longer, see onSilence().
+    const Millis estimate(static_cast<std::int64_t>(attempt_.choice->expectedMillis));
+    const Millis half = (deadlineAt_ - context_.now()) / 2;
+    return std::min(std::max(minPrefillTimeout, estimate * prefillTimeoutFactor), half);
 }
 
 void RequestRelay::sendPrefill()
@@ -32,13 +33,13 @@
         fields.prefixSource = attempt_.choice->prefixFrom->entry.address;
     fields.resumeAfter.reset();
     const double fresh = attempt_.choice->freshTokens;
-    if (context_.books && context_.settings.decisions.isEntered(fresh)) {
+    if (context_.prefillExchange && context_.settings.decisions.isEntered(fresh)) {
         const ReadingRate &rate = context_.engines.prefillRate();
         const ReadingPace pace{rate.tokensPerMilli(), rate.fixedMillis()};
-        entry_ = context_.books->enter(PromptChain::of(*inbound_.prompt),
-                                       engineKey(*attempt_.choice->prefill), fresh, pace);
+        trackedPrefill_ = context_.prefillExchange->enter(
+            PromptChain::of(*inbound_.prompt), engineKey(*attempt_.choice->prefill), fresh, pace);
     }
-    send(attempt_.choice->prefill, fields, readerPatience());
+    send(attempt_.choice->prefill, fields, prefillSilenceTimeout());
 }
 
 void RequestRelay::prefillEnded(const UpstreamEnd &end)
@@ -52,90 +53,90 @@
         context_.directory.markMisplaced(prefill.id);
     const bool wasSent = end.verdict != Verdict::NotRun;
     if (wasSent && end.kind == UpstreamEndKind::Broken)
-        checkEnded(attempt_.choice->prefill, false);
-    wasReadApart_ = wasReadApart_ || wasSent;
+        probeUpstream(attempt_.choice->prefill, false);
+    wasPrefillSent_ = wasPrefillSent_ || wasSent;
     if (handle) {
-        handle_ = handle->id;
-        return promptWasReadApart();
+        cacheHandle_ = handle->id;
+        return prefillSucceeded();
     }
     ++context_.counters.handOversFailed;
     const bool isFull = end.kind == UpstreamEndKind::Complete && attempt_.traits.isRefusedUnrun;
     context_.health.record(prefill.id, isFull ? AttemptSign::Full : AttemptSign::Broken,
                            context_.now());
     context_.engines.refused(prefill.id, context_.now());
-    // Only the engine that generates can run the request, so nothing has run yet.
-    settleAttempt();
+    // Only the decode engine can run the request, so nothing has run yet.
+    closeAttempt();
     isHandOverAllowed_ = false;
     lastCause_ = isFull ? GiveUpCause::Full : GiveUpCause::Broken;
     lastProblem_ = end.lastReason.what.empty() ? reason.toString() : end.lastReason.toString();
-    // A prefill call that reached an engine in vain counts as a send; what follows is a repeat.
-    if (wasSent && !takeRepeat())
-        return giveUpAsBefore();
+    // A failed prefill call that reached an engine counts as a send, so what follows is a retry.
+    if (wasSent && !takeRetry())
+        return giveUpWithLastCause();
     dispatch();
 }
 
-void RequestRelay::promptWasReadApart()
+void RequestRelay::prefillSucceeded()
 {
     context_.health.record(attempt_.choice->prefill->entry.id, AttemptSign::Good, context_.now());
-    promptRead();
-    if (context_.books)
-        context_.books->read(entry_);
-    // The engine that was to generate may be on its way out by now. That is nobody's failure and no
-    // send: another one fetches the prompt instead.
+    notePrefillDone();
+    if (context_.prefillExchange)
+        context_.prefillExchange->read(trackedPrefill_);
+    // The decode engine may have begun to leave meanwhile. That is neither a failure nor a send:
+    // another engine fetches the KV cache instead.
     if (!attempt_.choice->engine->isLeaving) {
         attempt_.body.clear();
-        return runHandedOver();
+        return runWithCache();
     }
-    if (hasOtherRunner())
-        return runElsewhere();
-    releaseHandle();
-    settleAttempt();
+    if (chooseOtherDecodeEngine())
+        return runOnOtherEngine();
+    releaseCacheHandle();
+    closeAttempt();
     lastCause_ = GiveUpCause::NoUpstream;
     lastProblem_ = "the engine that was to generate is leaving";
     dispatch();
 }
 
-bool RequestRelay::hasOtherRunner()
+bool RequestRelay::chooseOtherDecodeEngine()
 {
-    otherRunner_ = context_.engines.chooseRunner(candidates(), placementQuery());
-    return otherRunner_ != nullptr;
+    otherDecodeEngine_ = context_.engines.chooseRunner(candidates(), placementQuery());
+    return otherDecodeEngine_ != nullptr;
 }
 
-void RequestRelay::runElsewhere()
+void RequestRelay::runOnOtherEngine()
 {
-    context_.engines.moved(*attempt_.choice, otherRunner_, context_.now());
-    attempt_.upstream = otherRunner_;
-    context_.limits->use(otherRunner_->entry.life());
-    otherRunner_.reset();
+    context_.engines.moved(*attempt_.choice, otherDecodeEngine_, context_.now());
+    attempt_.upstream = otherDecodeEngine_;
+    context_.limits->use(otherDecodeEngine_->entry.life());
+    otherDecodeEngine_.reset();
     attempt_.body.clear();
-    runHandedOver();
+    runWithCache();
 }
 
-void RequestRelay::runHandedOver()
+void RequestRelay::runWithCache()
 {
     attempt_.status = 0;
     attempt_.traits = {};
-    if (isKeptFromUpstreams()) {
-        releaseHandle();
-        return settleAttempt();
+    if (endIfQuarantined()) {
+        releaseCacheHandle();
+        return closeAttempt();
     }
-    sendRun(attempt_.choice->prefill->entry.address + "/" + handle_);
+    sendRun(attempt_.choice->prefill->entry.address + "/" + cacheHandle_);
 }
 
-void RequestRelay::releaseHandle()
+void RequestRelay::releaseCacheHandle()
 {
-    if (handle_.empty() || !attempt_.choice || !attempt_.choice->prefill)
+    if (cacheHandle_.empty() || !attempt_.choice || !attempt_.choice->prefill)
         return;
     const UpstreamEntry &prefill = attempt_.choice->prefill->entry;
     UpstreamRequest request;
     request.address = prefill.address;
-    request.wire = context_.wire.encodeHandleRelease(handle_, prefill);
+    request.wire = context_.wire.encodeHandleRelease(cacheHandle_, prefill);
     request.isEchoRequired = false;
-    request.timeouts.connect = connectPatience;
+    request.timeouts.connect = connectTimeout;
     request.timeouts.firstByte = Millis::seconds(1);
     request.timeouts.stall = Millis::seconds(1);
     context_.pool.start(std::move(request), {});
-    handle_.clear();
+    cacheHandle_.clear();
 }
 
 } // namespace cuminrail
--- a/modules/gateway/request/RelayLimits.cpp
+++ b/modules/gateway/request/RelayLimits.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Upstreams that a request asks for credits, one after the other, before it is refused. */
-constexpr int mostCreditsAsked = 4;
+/** Credit requests, one after the other, before a request is refused. */
+constexpr int maxCreditRequests = 4;
 
 } // namespace
 
@@ -40,48 +40,49 @@
     return candidates_;
 }
 
-bool RequestRelay::waitsForCredit()
+bool RequestRelay::requestCredit()
 {
     LimitExchange &limits = *context_.limits;
-    if (!limits.hasLimits() || creditsAsked_++ >= mostCreditsAsked)
+    if (!limits.hasLimits() || creditRequests_++ >= maxCreditRequests)
         return false;
-    std::vector<UpstreamPointer> open;
+    std::vector<UpstreamPointer> available;
     for (const UpstreamPointer &upstream : context_.directory.usable(service_)) {
-        if (const auto room = limits.roomAfter(upstream->entry.life()))
-            noteNoRoom(*room);
+        if (const auto wait = limits.roomAfter(upstream->entry.life()))
+            noteLimitReached(*wait);
         else
-            open.push_back(upstream);
+            available.push_back(upstream);
     }
-    if (!chooseAmong(open))
+    if (!chooseAmong(available))
         return false;
-    // The engine that generates decides; without a credit for the reader it reads by itself.
-    const UpstreamLife life = attempt_.upstream->entry.life();
+    // Only the decode engine's credit is required; without one for the prefill engine, the decode
+    // engine does the prefill itself.
+    const UpstreamLife incarnation = attempt_.upstream->entry.life();
     attempt_ = Attempt();
-    limits.ask(life, [self = shared_from_this()](const CreditAnswer &answer) {
-        if (!self->isOver_)
-            self->creditAnswered(answer);
+    limits.ask(incarnation, [self = shared_from_this()](const CreditAnswer &reply) {
+        if (!self->hasEnded_)
+            self->onCreditReply(reply);
     });
     return true;
 }
 
-void RequestRelay::noteNoRoom(Millis roomAfter)
+void RequestRelay::noteLimitReached(Millis roomAfter)
 {
     lastCause_ = GiveUpCause::UpstreamLimit;
     lastProblem_ = "the upstreams take no more requests at the moment";
-    limitComeBack_ = std::min(limitComeBack_, roomAfter);
+    limitRetryAfter_ = std::min(limitRetryAfter_, roomAfter);
 }
 
-void RequestRelay::creditAnswered(const CreditAnswer &answer)
+void RequestRelay::onCreditReply(const CreditAnswer &reply)
 {
-    if (!answer.isGranted)
-        noteNoRoom(answer.comeBackAfter);
+    if (!reply.isGranted)
+        noteLimitReached(reply.comeBackAfter);
     if (choose())
-        goOn();
-    else if (!waitsForCredit())
-        giveUpAsBefore();
+        deferOrSend();
+    else if (!requestCredit())
+        giveUpWithLastCause();
 }
 
-void RequestRelay::useCredits()
+void RequestRelay::consumeCredits()
 {
     if (attempt_.choice && attempt_.choice->prefill)
         context_.limits->use(attempt_.choice->prefill->entry.life());
--- a/modules/gateway/request/RelayLog.cpp
+++ b/modules/gateway/request/RelayLog.cpp
@@ -5,9 +5,9 @@
 
 namespace {
 
-std::string text(Millis span)
+std::string text(Millis duration)
 {
-    return std::to_string(span.count());
+    return std::to_string(duration.count());
 }
 
 std::string text(double number)
@@ -29,9 +29,9 @@
                  {"address", upstream.address},
                  {"step", attempt_.isPrefill ? "prefill" : "run"},
                  {"elapsed_ms", text(now - arrivedAt_)},
-                 {"left_ms", text(endsAt_ - now)},
+                 {"left_ms", text(deadlineAt_ - now)},
                  {"configuration", std::to_string(index_->version())},
-                 {"configuration_age_ms", text(now - context_.configurationConfirmed)},
+                 {"configuration_age_ms", text(now - context_.configurationConfirmedAt)},
                  {"upstreams_age_ms", text(now - context_.upstreamsConfirmed)},
                  {"bad_share_pct", text(100 * context_.health.badShare(upstream.id))}}};
     if (attempt_.choice) {
@@ -62,7 +62,8 @@
                  {"verdict", std::string(verdictNames.name(verdict))},
                  {"reason", end.lastReason.toString()},
                  {"elapsed_ms", text(context_.now() - arrivedAt_)}}};
-    // Tells a request that breaks one upstream after the other from upstreams that break.
+    // Distinguishes a request that crashes one upstream after another from upstreams that fail by
+    // themselves.
     if (end.kind == UpstreamEndKind::Broken)
         event.fields.emplace_back("content", fingerprint().text());
     context_.events(event);
@@ -71,7 +72,7 @@
 const char *RequestRelay::lateness() const
 {
     const Millis now = context_.now();
-    const Millis firstAt = stream_.events > 0 ? stream_.firstAt : now;
+    const Millis firstAt = stream_.eventCount > 0 ? stream_.firstAt : now;
     if (firstAt - arrivedAt_ > route_->goal)
         return "first-event";
     return stream_.longestPause > route_->gapGoal ? "pause" : "no";
@@ -80,9 +81,9 @@
 void RequestRelay::logEnd(const EventKind &kind, int status, std::optional<GiveUpCause> cause,
                           const std::string &why) const
 {
-    const Verdict verdict = hasBegun_ ? Verdict::Ran
-        : mayHaveRun_                 ? Verdict::MayHaveRun
-                                      : Verdict::NotRun;
+    const Verdict verdict = hasStarted_ ? Verdict::Ran
+        : mayHaveRun_                   ? Verdict::MayHaveRun
+                                        : Verdict::NotRun;
     Event event{
         &kind,
         {{"request", inbound_.id},
@@ -92,8 +93,8 @@
          {"verdict", std::string(verdictNames.name(verdict))},
          {"elapsed_ms", text(context_.now() - arrivedAt_)},
          {"configuration", index_ == nullptr ? "none" : std::to_string(index_->version())}}};
-    if (stream_.events > 0) {
-        event.fields.emplace_back("events", std::to_string(stream_.events));
+    if (stream_.eventCount > 0) {
+        event.fields.emplace_back("events", std::to_string(stream_.eventCount));
         event.fields.emplace_back("first_event_ms", text(stream_.firstAt - arrivedAt_));
         event.fields.emplace_back("longest_pause_ms", text(stream_.longestPause));
     }
--- a/modules/gateway/request/RelayQuarantine.cpp
+++ b/modules/gateway/request/RelayQuarantine.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-constexpr const char *quarantinedWhy = "upstreams ended under requests that ask the same";
+constexpr const char *quarantineReason = "upstreams ended under requests that ask the same";
 
 } // namespace
 
@@ -22,33 +22,33 @@
         && context_.quarantine->level(fingerprint()) >= SuspicionLevel::Suspected;
 }
 
-bool RequestRelay::isKeptFromUpstreams()
+bool RequestRelay::endIfQuarantined()
 {
     if (!context_.quarantine->hasSuspects())
         return false;
-    const auto left = context_.quarantine->quarantineLeft(fingerprint());
-    if (!left)
+    const auto remaining = context_.quarantine->quarantineLeft(fingerprint());
+    if (!remaining)
         return false;
-    if (isAnswering_ || mayHaveRun_)
-        giveUp(GiveUpCause::Quarantined, quarantinedWhy);
+    if (hasResponseStarted_ || mayHaveRun_)
+        giveUp(GiveUpCause::Quarantined, quarantineReason);
     else
-        refuse(503, GiveUpCause::Quarantined, left, quarantinedWhy);
+        refuse(503, GiveUpCause::Quarantined, remaining, quarantineReason);
     return true;
 }
 
-void RequestRelay::checkEnded(const UpstreamPointer &upstream, bool goesOn)
+void RequestRelay::probeUpstream(const UpstreamPointer &upstream, bool dispatchesAfter)
 {
     UpstreamRequest request;
     request.address = upstream->entry.address;
     request.isProbe = true;
-    request.timeouts.connect = connectPatience;
+    request.timeouts.connect = connectTimeout;
     UpstreamHooks hooks;
-    hooks.onEnd = [self = shared_from_this(), asked = fingerprint(), life = upstream->entry.life(),
-                   goesOn](const UpstreamEnd &end) {
-        // A connection that is refused tells an upstream that ended from a link that broke.
+    hooks.onEnd = [self = shared_from_this(), content = fingerprint(),
+                   incarnation = upstream->entry.life(), dispatchesAfter](const UpstreamEnd &end) {
+        // A refused connection means that the process ended; otherwise only the link broke.
         if (end.kind == UpstreamEndKind::ConnectFailed)
-            self->context_.quarantine->upstreamEnded(asked, life);
-        if (goesOn)
+            self->context_.quarantine->upstreamEnded(content, incarnation);
+        if (dispatchesAfter)
             self->dispatch();
     };
     context_.pool.start(std::move(request), std::move(hooks));
--- a/modules/gateway/request/RelayQuota.cpp
+++ b/modules/gateway/request/RelayQuota.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-/** Another instance, or this one a moment later, reaches a keeper. */
-constexpr Millis unknownComeBack = Millis(250);
-/** Returns are spread over this. */
-constexpr Millis quotaSpread = Millis(300);
+/** After this, another instance or this one may reach an owner of the quota again. */
+constexpr Millis unknownQuotaRetryAfter = Millis(250);
+/** Callers' retries are spread over this time. */
+constexpr Millis quotaRetryJitter = Millis(300);
 
 } // namespace
 
@@ -22,7 +22,7 @@
     return double(inbound_.prompt->inputTokens) + double(inbound_.prompt->outputTokensMost);
 }
 
-void RequestRelay::askQuota()
+void RequestRelay::requestQuota()
 {
     const CustomerQuota *quota = customer_.empty() ? nullptr : context_.quotas->quota(customer_);
     if (quota == nullptr)
@@ -30,31 +30,31 @@
     const double cost = quotaCost(*quota);
     context_.quotas->ask(customer_, cost,
                          [self = shared_from_this(), cost](const QuotaVerdict &verdict) {
-                             self->quotaAnswered(verdict, cost);
+                             self->onQuotaVerdict(verdict, cost);
                          });
 }
 
-void RequestRelay::quotaAnswered(const QuotaVerdict &verdict, double cost)
+void RequestRelay::onQuotaVerdict(const QuotaVerdict &verdict, double cost)
 {
     quotaGrant_ = verdict.grant;
-    // Its time was over, or its caller left, before the keeper answered.
-    if (isOver_)
+    // The deadline passed or the caller left before the quota's owner replied.
+    if (hasEnded_)
         return context_.quotas->giveBack(quotaGrant_);
     if (verdict.result == QuotaResult::Granted)
         return dispatch();
-    const auto spread = static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id)
-                                                  % std::uint64_t(quotaSpread.count()));
+    const auto jitter = static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id)
+                                                  % std::uint64_t(quotaRetryJitter.count()));
     if (verdict.result == QuotaResult::Unknown)
-        return refuse(503, GiveUpCause::QuotaUnknown, unknownComeBack + Millis(spread),
+        return refuse(503, GiveUpCause::QuotaUnknown, unknownQuotaRetryAfter + Millis(jitter),
                       "nobody can tell how much its customer has used");
-    std::optional<Millis> comeBack = verdict.comeBackAfter;
-    if (comeBack)
-        *comeBack += Millis(spread);
+    std::optional<Millis> retryAfter = verdict.comeBackAfter;
+    if (retryAfter)
+        *retryAfter += Millis(jitter);
     const auto number = [](double value) {
         return std::to_string(static_cast<std::int64_t>(value));
     };
     const CustomerQuota *quota = context_.quotas->quota(customer_);
-    refuse(429, GiveUpCause::OverQuota, comeBack,
+    refuse(429, GiveUpCause::OverQuota, retryAfter,
            "its customer is over its quota: " + number(cost) + " asked, " + number(verdict.level)
                + " left, " + number(quota == nullptr ? 0 : quota->perSecond) + " a second");
 }
--- a/modules/gateway/request/RelaySend.cpp
+++ b/modules/gateway/request/RelaySend.cpp
@@ -7,13 +7,14 @@
 namespace {
 
 /**
-    Upstreams close idle connections at times of their own. What is sent into one that is being
-    closed is lost, and a request that may not run twice cannot be sent again.
+    Upstreams close idle connections on their own schedule. A request sent into a connection that is
+    being closed is lost, and one that must not run twice cannot be retried; so only recently used
+    connections are reused for it.
 */
-constexpr Millis idleForUnrepeatable = Millis(300);
-constexpr Millis idleForRepeatable = Millis(4000);
-/** The least a stream may pause before an upstream counts as silent, where others could go on. */
-constexpr Millis leastStreamPatience = Millis(1500);
+constexpr Millis maxIdleUnrepeatable = Millis(300);
+constexpr Millis maxIdleRepeatable = Millis(4000);
+/** Shortest stall timeout of a stream, after which another upstream may resume it. */
+constexpr Millis minStreamTimeout = Millis(1500);
 
 bool isStreamRoute(const Route &route)
 {
@@ -25,10 +26,10 @@
 OutboundFields RequestRelay::outbound(const UpstreamEntry &upstream) const
 {
     OutboundFields fields;
-    fields.timeLeft = endsAt_ - context_.now();
+    fields.timeLeft = deadlineAt_ - context_.now();
     fields.upstreamId = upstream.id;
     fields.customer = customer_;
-    fields.resumeAfter = lastEvent_;
+    fields.resumeAfter = lastEventId_;
     if (route_->hasPrompts)
         fields.urgency = urgency();
     return fields;
@@ -36,42 +37,43 @@
 
 int RequestRelay::urgency() const
 {
-    // A request whose goal is out of reach would push others past theirs, and all would be late.
-    const auto expected =
+    // A request that cannot meet its latency goal any more would delay others past theirs, and all
+    // would be late.
+    const auto estimate =
         static_cast<std::int64_t>(attempt_.choice ? attempt_.choice->firstEventMillis : 0);
-    const Millis reached = context_.now() - arrivedAt_ + Millis(expected);
-    const bool isHopeless = attempt_.isPrefill && reached > route_->goal;
-    const int late = static_cast<int>(context_.settings.decisions.lateUrgency);
-    return isHopeless ? late : urgency_;
+    const Millis firstEventAfter = context_.now() - arrivedAt_ + Millis(estimate);
+    const bool missesGoal = attempt_.isPrefill && firstEventAfter > route_->goal;
+    const int lateUrgency = static_cast<int>(context_.settings.decisions.lateUrgency);
+    return missesGoal ? lateUrgency : urgency_;
 }
 
-Millis RequestRelay::patience() const
+Millis RequestRelay::silenceTimeout() const
 {
-    const Millis left = endsAt_ - context_.now();
-    // Silence ends an attempt early only where another upstream may take over.
-    const bool hasAnother = route_->isRepeatable() && sends_ + 1 < route_->maxAttempts;
-    if (!hasAnother)
-        return left + Millis(1000);
-    return std::max(route_->goal, left * 2 / 5);
+    const Millis remaining = deadlineAt_ - context_.now();
+    // Silence ends an attempt early only if another upstream may be tried.
+    const bool mayTryAnother = route_->isRepeatable() && sends_ + 1 < route_->maxAttempts;
+    if (!mayTryAnother)
+        return remaining + Millis(1000);
+    return std::max(route_->goal, remaining * 2 / 5);
 }
 
 void RequestRelay::sendRun(std::string cacheSource)
 {
     attempt_.isPrefill = false;
-    if (!isFirstCounted_) {
-        isFirstCounted_ = true;
+    if (!isFirstSendCounted_) {
+        isFirstSendCounted_ = true;
         context_.retries.countFirst(service_, context_.now());
     }
     OutboundFields fields = outbound(attempt_.upstream->entry);
     if (!cacheSource.empty())
         context_.engines.handedOver(*attempt_.choice, *inbound_.prompt, context_.now());
     fields.cacheSource = std::move(cacheSource);
-    events_.restart();
-    send(attempt_.upstream, fields, patience());
+    sseReader_.restart();
+    send(attempt_.upstream, fields, silenceTimeout());
 }
 
 void RequestRelay::send(const UpstreamPointer &upstream, const OutboundFields &fields,
-                        Millis patience)
+                        Millis timeout)
 {
     UpstreamRequest request;
     request.address = upstream->entry.address;
@@ -79,18 +81,18 @@
         context_.wire.encodeRequest(exchange_->head(), exchange_->body(), inbound_, fields);
     request.requestId = inbound_.id;
     request.identityHeader = context_.wire.identityHeader;
-    // Refusals need not repeat the identity; onHead() asks for it from all other answers.
+    // Refusals need not echo the identity header; onHead() requires it of all other responses.
     request.isEchoRequired = false;
     request.isHead = exchange_->head().method == "HEAD";
     request.allowsEndByClose = true;
-    request.longestIdle = route_->isRepeatable() ? idleForRepeatable : idleForUnrepeatable;
-    request.timeouts.connect = std::min(connectPatience, fields.timeLeft);
-    // Without any sign of an answer, onSilence() decides; this only ends what it leaves.
+    request.longestIdle = route_->isRepeatable() ? maxIdleRepeatable : maxIdleUnrepeatable;
+    request.timeouts.connect = std::min(connectTimeout, fields.timeLeft);
+    // While no response has begun, onSilence() decides; this timeout is only a backstop.
     request.timeouts.firstByte = fields.timeLeft + Millis::seconds(1);
-    request.timeouts.stall = patience;
-    silence_.setAfter(patience);
+    request.timeouts.stall = timeout;
+    silenceTimer_.setAfter(timeout);
     if (isStreamRoute(*route_) && !attempt_.isPrefill)
-        request.timeouts.stall = std::max(leastStreamPatience, route_->gapGoal * 4);
+        request.timeouts.stall = std::max(minStreamTimeout, route_->gapGoal * 4);
     const bool isNewAttempt = attempt_.isPrefill || !attempt_.isCounted;
     if (isNewAttempt) {
         attempt_.isCounted = true;
--- a/modules/gateway/request/RelayWaiting.cpp
+++ b/modules/gateway/request/RelayWaiting.cpp
@@ -6,14 +6,14 @@
 namespace {
 
 /**
-    How often a prompt that is kept back looks for room: a fraction of the tightest goal of present
-    routes, 400 ms, and as long as an engine takes for two chunks.
+    Interval at which placement of a deferred prompt is tried again: a fraction of the tightest
+    latency goal, 400 ms, and as long as an engine takes for two prefill chunks.
 */
-constexpr Millis lookAgainAfter = Millis(25);
+constexpr Millis placementRetryInterval = Millis(25);
 
 } // namespace
 
-bool RequestRelay::isKeptBack()
+bool RequestRelay::deferOrReject()
 {
     if (!attempt_.choice)
         return false;
@@ -23,13 +23,13 @@
     outlook.elapsed = context_.now() - arrivedAt_;
     outlook.goal = route_->goal;
     outlook.patience = callerPatience(*route_);
-    if (!isHeld_)
-        outlook.queueAge = context_.held.oldestAge(route_->name, context_.now());
+    if (!isDeferred_)
+        outlook.queueAge = context_.deferredPrompts.oldestAge(route_->name, context_.now());
     switch (context_.deferral.decide(outlook)) {
     case PromptDecision::Send:
         return false;
     case PromptDecision::Hold:
-        hold(outlook);
+        deferPrompt(outlook);
         return true;
     case PromptDecision::Refuse:
         break;
@@ -40,54 +40,55 @@
     return true;
 }
 
-bool RequestRelay::asksBooks()
+bool RequestRelay::queryPrefillEstimates()
 {
-    if (context_.books == nullptr || !attempt_.choice || !attempt_.choice->prefill)
+    if (context_.prefillExchange == nullptr || !attempt_.choice || !attempt_.choice->prefill)
         return false;
-    const std::size_t asked =
+    const std::size_t maxEngines =
         context_.settings.decisions.booksAskedFor(attempt_.choice->freshTokens);
-    if (asked == 0)
+    if (maxEngines == 0)
         return false;
-    wasAsked_ = true;
-    const auto readers = context_.engines.likelyReaders(candidates(), placementQuery(), asked);
+    hasQueriedEstimates_ = true;
+    const auto engines = context_.engines.likelyReaders(candidates(), placementQuery(), maxEngines);
     std::vector<EngineKey> keys;
-    keys.reserve(readers.size());
-    for (const UpstreamPointer &reader : readers)
-        keys.push_back(engineKey(*reader));
+    keys.reserve(engines.size());
+    for (const UpstreamPointer &engine : engines)
+        keys.push_back(engineKey(*engine));
     attempt_ = Attempt();
-    context_.books->ask(PromptChain::of(*inbound_.prompt), keys,
-                        [self = shared_from_this(), readers](const BookExchange::Offers &offers) {
-                            if (!self->isOver_)
-                                self->booksAnswered(readers, offers);
-                        });
+    context_.prefillExchange->ask(
+        PromptChain::of(*inbound_.prompt), keys,
+        [self = shared_from_this(), engines](const BookExchange::Offers &estimates) {
+            if (!self->hasEnded_)
+                self->onPrefillEstimates(engines, estimates);
+        });
     return true;
 }
 
-void RequestRelay::booksAnswered(const std::vector<UpstreamPointer> &readers,
-                                 const BookExchange::Offers &offers)
+void RequestRelay::onPrefillEstimates(const std::vector<UpstreamPointer> &engines,
+                                      const BookExchange::Offers &estimates)
 {
-    for (const UpstreamPointer &reader : readers) {
-        const auto offer = offers.find(engineKey(*reader));
-        if (offer == offers.end())
+    for (const UpstreamPointer &engine : engines) {
+        const auto estimate = estimates.find(engineKey(*engine));
+        if (estimate == estimates.end())
             continue;
-        offers_[reader->entry.id] = offer->second;
-        context_.engines.told(reader->entry.id, offer->second.waitMillis, context_.now());
+        prefillEstimates_[engine->entry.id] = estimate->second;
+        context_.engines.told(engine->entry.id, estimate->second.waitMillis, context_.now());
     }
     const bool isChosen = choose();
-    offers_.clear();
-    if (!isChosen && waitsForCredit())
+    prefillEstimates_.clear();
+    if (!isChosen && requestCredit())
         return;
     if (!isChosen)
-        return giveUpAsBefore();
-    if (!isKeptBack())
+        return giveUpWithLastCause();
+    if (!deferOrReject())
         sendChosen();
 }
 
-void RequestRelay::hold(const PromptOutlook &outlook)
+void RequestRelay::deferPrompt(const PromptOutlook &outlook)
 {
-    if (!wasHeld_) {
-        wasHeld_ = true;
-        ++context_.counters.held;
+    if (!wasDeferred_) {
+        wasDeferred_ = true;
+        ++context_.counters.deferred;
         const auto text = [](double millis) {
             return std::to_string(static_cast<std::int64_t>(millis));
         };
@@ -100,18 +101,18 @@
                                {"first_event_ms", text(outlook.firstEventMillis)},
                                {"goal_ms", std::to_string(outlook.goal.count())}}});
     }
-    if (!isHeld_)
-        context_.held.add(route_->name, arrivedAt_);
-    isHeld_ = true;
+    if (!isDeferred_)
+        context_.deferredPrompts.add(route_->name, arrivedAt_);
+    isDeferred_ = true;
     attempt_ = Attempt();
-    heldLook_.setAfter(lookAgainAfter);
+    deferralTimer_.setAfter(placementRetryInterval);
 }
 
-void RequestRelay::releaseHeld()
+void RequestRelay::leaveDeferredQueue()
 {
-    if (isHeld_)
-        context_.held.remove(route_->name, arrivedAt_);
-    isHeld_ = false;
+    if (isDeferred_)
+        context_.deferredPrompts.remove(route_->name, arrivedAt_);
+    isDeferred_ = false;
 }
 
 } // namespace cuminrail
--- a/modules/gateway/request/RequestRelay.cpp
+++ b/modules/gateway/request/RequestRelay.cpp
@@ -8,39 +8,40 @@
 
 namespace {
 
-/** The answer must still reach the caller before it stops waiting: a few network delays. */
-constexpr Millis answerTravel = Millis(30);
-/** With less time than this left no upstream can do anything useful. */
-constexpr Millis leastUseful = Millis(20);
+/** The response must reach the caller before its timeout: reserves a few network delays. */
+constexpr Millis responseTransit = Millis(30);
+/** With less time remaining than this, no upstream can produce a useful response. */
+constexpr Millis minUsefulTime = Millis(20);
 /**
-    An idle engine's first event takes 45 to 80 ms, more while others run there. A repeat with less
-    time than this would use up the limit for nothing.
+    An idle engine's first event takes 45 to 80 ms, and longer while other requests run there. A
+    retry with less time than this would only use up the retry budget.
 */
-constexpr Millis leastUsefulRepeat = Millis(150);
-/** Refusals after which a request is given up: its service has no room. */
-constexpr int mostRefusals = 2;
-/** An upstream that showed something to any request within this long counts as alive. */
-constexpr Millis progressSpan = Millis(700);
+constexpr Millis minUsefulRetryTime = Millis(150);
+/** A request refused by more upstreams than this is given up: its service is full. */
+constexpr int maxRefusals = 2;
+/** An upstream that sent data for any request within this time counts as alive. */
+constexpr Millis progressWindow = Millis(700);
 /**
-    The same for a reader: one instance's share of its answers is small, and a prompt of 50,000
-    tokens takes 1.5 s by itself. Left sooner, busy readers lost work that they had done.
+    The same for a prefill engine: one instance receives a small share of its responses, and a
+    prompt of 50,000 tokens takes 1.5 s by itself. With a shorter time, completed work of busy
+    prefill engines was abandoned.
 */
-constexpr Millis readerProgressSpan = Millis(2500);
+constexpr Millis prefillProgressWindow = Millis(2500);
 constexpr int configurationMissingRetryMs = 500;
-constexpr int usualUrgency = 3;
+constexpr int defaultUrgency = 3;
 
 } // namespace
 
 RequestRelay::RequestRelay(RelayContext &context, std::shared_ptr<HttpExchange> exchange)
     : context_(context), exchange_(std::move(exchange)),
-      deadline_(context.deadlines, [this] { onDeadline(); }),
-      silence_(context.deadlines, [this] { onSilence(); }),
-      heldLook_(context.deadlines,
-                [this] {
-                    const auto self = shared_from_this();
-                    dispatch();
-                }),
-      events_([this](const SseEvent &event) { onEvent(event); })
+      deadlineTimer_(context.deadlines, [this] { onDeadline(); }),
+      silenceTimer_(context.deadlines, [this] { onSilence(); }),
+      deferralTimer_(context.deadlines,
+                     [this] {
+                         const auto self = shared_from_this();
+                         dispatch();
+                     }),
+      sseReader_([this](const SseEvent &event) { onEvent(event); })
 {
     ++context_.counters.inProgress;
 }
@@ -54,15 +55,15 @@
 {
     ++context_.counters.requests;
     arrivedAt_ = context_.now();
-    if (!judge())
+    if (!validateRequest())
         return;
-    if (isKeptFromUpstreams())
+    if (endIfQuarantined())
         return;
     exchange_->onCallerLeft([self = shared_from_this()] { self->onCallerLeft(); });
-    askQuota();
+    requestQuota();
 }
 
-bool RequestRelay::judge()
+bool RequestRelay::validateRequest()
 {
     index_ = context_.index;
     Reason reason;
@@ -84,17 +85,18 @@
         refuse(404, GiveUpCause::NoRoute, std::nullopt, "no route has this host and path");
         return false;
     }
-    if (!identifyCaller())
+    if (!authenticateCaller())
         return false;
     service_ = RouteIndex::target(*route_, inbound_.id);
-    lastEvent_ = inbound_.resumeAfter;
-    const Millis patience = inbound_.patience ? *inbound_.patience - answerTravel : route_->timeout;
-    endsAt_ = arrivedAt_ + std::min(patience, route_->timeout);
-    deadline_.setAt(endsAt_);
+    lastEventId_ = inbound_.resumeAfter;
+    const Millis timeout =
+        inbound_.patience ? *inbound_.patience - responseTransit : route_->timeout;
+    deadlineAt_ = arrivedAt_ + std::min(timeout, route_->timeout);
+    deadlineTimer_.setAt(deadlineAt_);
     return true;
 }
 
-bool RequestRelay::identifyCaller()
+bool RequestRelay::authenticateCaller()
 {
     int priority = route_->priority;
     if (!route_->isOpen && !index_->configuration().customers.empty()) {
@@ -106,58 +108,60 @@
         customer_ = caller->customer;
         priority = caller->priority.value_or(priority);
     }
-    urgency_ = std::clamp(usualUrgency + priority, 0, 9);
+    urgency_ = std::clamp(defaultUrgency + priority, 0, 9);
     return true;
 }
 
 void RequestRelay::dispatch()
 {
-    if (isOver_)
+    if (hasEnded_)
         return;
     attempt_ = Attempt();
-    if (isKeptFromUpstreams())
+    if (endIfQuarantined())
         return;
-    const bool isRepeat = sends_ + refusals_ > 0;
-    const Millis least = isRepeat && route_->hasPrompts ? leastUsefulRepeat : leastUseful;
-    if (endsAt_ - context_.now() < least)
+    const bool isRetry = sends_ + refusals_ > 0;
+    const Millis minTime = isRetry && route_->hasPrompts ? minUsefulRetryTime : minUsefulTime;
+    if (deadlineAt_ - context_.now() < minTime)
         return giveUp(GiveUpCause::TimeOver, "no time is left");
-    if (connectFailures_ >= mostConnectFailures)
+    if (connectFailures_ >= maxConnectFailures)
         return giveUp(GiveUpCause::Unreachable, "upstreams cannot be reached");
-    if (refusals_ > mostRefusals)
-        return giveUpAsBefore();
-    if (isRepeat && !mayRepeat())
-        return giveUpAsBefore();
+    if (refusals_ > maxRefusals)
+        return giveUpWithLastCause();
+    if (isRetry && !mayRetry())
+        return giveUpWithLastCause();
     if (choose())
-        goOn();
-    else if (!waitsForCredit())
-        giveUpAsBefore();
+        deferOrSend();
+    else if (!requestCredit())
+        giveUpWithLastCause();
 }
 
-void RequestRelay::goOn()
+void RequestRelay::deferOrSend()
 {
-    const bool isRepeat = sends_ + refusals_ > 0;
-    // Engines that are known to be busy need not be asked of again.
-    if (!isRepeat && ((wasAsked_ && isKeptBack()) || asksBooks() || isKeptBack()))
+    const bool isRetry = sends_ + refusals_ > 0;
+    // After one query, a prompt that the estimates kept here still defer is not queried for again.
+    if (!isRetry
+        && ((hasQueriedEstimates_ && deferOrReject()) || queryPrefillEstimates()
+            || deferOrReject()))
         return;
     sendChosen();
 }
 
 void RequestRelay::sendChosen()
 {
-    releaseHeld();
-    useCredits();
+    leaveDeferredQueue();
+    consumeCredits();
     if (attempt_.choice && attempt_.choice->prefill)
         sendPrefill();
     else
         sendRun({});
 }
 
-bool RequestRelay::mayRepeat()
+bool RequestRelay::mayRetry()
 {
-    return sends_ < route_->maxAttempts && takeRepeat();
+    return sends_ < route_->maxAttempts && takeRetry();
 }
 
-bool RequestRelay::takeRepeat()
+bool RequestRelay::takeRetry()
 {
     if (isSuspected()) {
         lastProblem_ += ", and upstreams ended under requests like it";
@@ -168,13 +172,13 @@
         lastProblem_ += ", and the limit on repeats is reached";
         return false;
     }
-    ++context_.counters.repeats;
+    ++context_.counters.retries;
     return true;
 }
 
 void RequestRelay::onDeadline()
 {
-    if (isOver_)
+    if (hasEnded_)
         return;
     const auto self = shared_from_this();
     ++context_.counters.timeouts;
@@ -183,22 +187,22 @@
         mayHaveRun_ = mayHaveRun_ || mayRun;
         call_.cancel();
     }
-    releaseHandle();
-    settleAttempt();
+    releaseCacheHandle();
+    closeAttempt();
     giveUp(GiveUpCause::TimeOver, "the time for it is over");
 }
 
 void RequestRelay::onSilence()
 {
-    if (isOver_ || !call_.isActive())
+    if (hasEnded_ || !call_.isActive())
         return;
     const UpstreamPointer &upstream =
         attempt_.isPrefill ? attempt_.choice->prefill : attempt_.upstream;
-    // An upstream that answers others is busy, not dead. Sent elsewhere, the request would lose
-    // its place, and the work done for it, just when there is too little of both.
-    const Millis span = attempt_.isPrefill ? readerProgressSpan : progressSpan;
-    if (context_.health.hasProgressed(upstream->entry.id, span, context_.now())) {
-        silence_.setAfter(progressSpan);
+    // An upstream that responds to other requests is busy, not dead. Sent elsewhere, this request
+    // would lose its place in the queue and the work already done, just when capacity is scarce.
+    const Millis window = attempt_.isPrefill ? prefillProgressWindow : progressWindow;
+    if (context_.health.hasProgressed(upstream->entry.id, window, context_.now())) {
+        silenceTimer_.setAfter(progressWindow);
         return;
     }
     const auto self = shared_from_this();
@@ -210,16 +214,16 @@
 
 void RequestRelay::onCallerLeft()
 {
-    if (isOver_)
+    if (hasEnded_)
         return;
     const auto self = shared_from_this();
     ++context_.counters.callersLeft;
     logEnd(events::callerLeft, 0);
-    // Nobody waits any more: the upstream's work is ended with its connection.
+    // The caller is gone: closing the connection makes the upstream abort the request.
     call_.cancel();
-    releaseHandle();
-    settleAttempt();
-    over(RequestOutcome::CallerLeft);
+    releaseCacheHandle();
+    closeAttempt();
+    endRequest(RequestOutcome::CallerLeft);
 }
 
 } // namespace cuminrail
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -10,20 +10,22 @@
 namespace cuminrail {
 
 /**
-    One caller's request on its way: judged, sent, relayed, sent once more where that is allowed.
+    Relays one caller's request: validates it, chooses an upstream, streams the response back and
+    retries where that is allowed.
 
-    At any moment at most one upstream has the request. What is known of the last attempt decides
-    whether another may follow: a request that may have run goes out again only on routes that say
-    so, and a refusal is worded as "not run" only while no upstream can have run it.
+    At most one upstream has the request at any moment. The outcome of the last attempt decides
+    whether another may follow: a request that may have run is sent again only on routes declared
+    as repeatable, and a refusal states "not run" only while no upstream can have run it.
 */
 class RequestRelay : public std::enable_shared_from_this<RequestRelay>
 {
 public:
     /**
-        A connection within a region is made in a few milliseconds. A full listen queue drops the
-        first packet, which TCP sends again after a second; another upstream is better by then.
+        A connection within a region is established in a few milliseconds. A full listen queue
+        drops the SYN, which TCP retransmits after a second; by then another upstream is the better
+        choice.
     */
-    static constexpr Millis connectPatience = Millis(400);
+    static constexpr Millis connectTimeout = Millis(400);
 
     RequestRelay(RelayContext &context, std::shared_ptr<HttpExchange> exchange);
     ~RequestRelay();
@@ -33,17 +35,20 @@
     void start();
 
 private:
-    /** Connections refused or unanswered before giving up; none of them reached anyone. */
-    static constexpr int mostConnectFailures = 4;
+    /** Failed connection attempts before giving up; the request was not sent on any of them. */
+    static constexpr int maxConnectFailures = 4;
 
-    /** One send to one upstream, with what has come back of it. */
+    /** One send to one upstream, with the response received so far. */
     struct Attempt
     {
         UpstreamPointer upstream;
         /** Set for prompts. */
         std::optional<EngineChoice> choice;
+        /** A prefill engine computes the prompt's KV cache for the engine that will decode. */
         bool isPrefill = false;
-        bool isPromptRead = false;
+        /** The engine has processed the prompt. */
+        bool isPrefillDone = false;
+        /** Counted in this instance's estimate of the upstream's load. */
         bool isCounted = false;
         Millis sentAt;
         int status = 0;
@@ -51,72 +56,81 @@
         std::vector<HttpHeader> headers;
         std::string body;
         bool isStreaming = false;
-        bool isForeign = false;
+        /** The response is not the upstream's own, malformed or too large: it is not relayed. */
+        bool isInvalid = false;
     };
 
-    /** What the caller got of a stream, over all attempts. */
+    /** Events of a stream that the caller received, over all attempts. */
     struct StreamProgress
     {
-        std::uint32_t events = 0;
+        std::uint32_t eventCount = 0;
         Millis firstAt;
         Millis lastAt;
         Millis longestPause;
     };
 
-    bool judge();
-    bool identifyCaller();
-    /** What the request counts for against its customer's quota. */
+    /** Decodes the request, finds its route and its caller; returns false after refusing it. */
+    bool validateRequest();
+    bool authenticateCaller();
+    /** Returns what the request costs of its customer's quota, in the quota's unit. */
     double quotaCost(const CustomerQuota &quota) const;
-    void askQuota();
-    void quotaAnswered(const QuotaVerdict &verdict, double cost);
-    /** What the request asks for; worked out at the first call. */
+    void requestQuota();
+    void onQuotaVerdict(const QuotaVerdict &verdict, double cost);
+    /** Identifies the request's content; computed at the first call. */
     const RequestFingerprint &fingerprint() const;
     bool isSuspected() const;
-    /** Returns true after ending the request because it is quarantined. */
-    bool isKeptFromUpstreams();
+    /** Returns true if the request is quarantined, after ending it. */
+    bool endIfQuarantined();
     /**
-        Asks whether an upstream that broke off still takes connections, and reports one that does
-        not.
+        Probes whether an upstream that broke off still accepts connections, and reports to the
+        quarantine one that does not.
 
-        @param goesOn  the request waits for this before it is sent elsewhere
+        @param dispatchesAfter  the request is sent elsewhere only after the probe has ended
     */
-    void checkEnded(const UpstreamPointer &upstream, bool goesOn);
+    void probeUpstream(const UpstreamPointer &upstream, bool dispatchesAfter);
+    /** Chooses an upstream and starts the next attempt, or gives up. */
     void dispatch();
-    /** Sends to what was chosen, or keeps the prompt back. */
-    void goOn();
+    /** Sends to the chosen upstream, or defers the prompt. */
+    void deferOrSend();
     bool choose() { return chooseAmong(candidates()); }
     bool chooseAmong(const std::vector<UpstreamPointer> &upstreams);
-    /** Upstreams that may get the request now: those without a limit, or with a credit here. */
+    /** Returns the upstreams that can be used now: those without a limit, or with a credit here. */
     const std::vector<UpstreamPointer> &candidates();
-    /** Returns true when a credit of a limited upstream was asked for; creditAnswered() goes on. */
-    bool waitsForCredit();
-    void creditAnswered(const CreditAnswer &answer);
-    /** A limited upstream has no room before then. */
-    void noteNoRoom(Millis roomAfter);
-    /** What was chosen is sent to. */
-    void useCredits();
-    bool choosePrompt(const std::vector<UpstreamPointer> &upstreams);
+    /** Returns true if a credit of a limited upstream was requested; onCreditReply() continues. */
+    bool requestCredit();
+    void onCreditReply(const CreditAnswer &answer);
+    /** A limited upstream takes no request before @c roomAfter has passed. */
+    void noteLimitReached(Millis roomAfter);
+    /** Consumes the credits of the chosen upstreams, just before sending. */
+    void consumeCredits();
+    bool chooseEngine(const std::vector<UpstreamPointer> &upstreams);
     PlacementQuery placementQuery() const;
-    bool choosePlain(const std::vector<UpstreamPointer> &upstreams);
-    /** Returns true when the prompt is not sent now: it waits here, or was refused. */
-    bool isKeptBack();
-    /** Returns true when books were asked; booksAnswered() goes on. */
-    bool asksBooks();
-    void booksAnswered(const std::vector<UpstreamPointer> &readers,
-                       const BookExchange::Offers &offers);
+    bool chooseLeastLoaded(const std::vector<UpstreamPointer> &upstreams);
+    /** Returns true if the prompt is not sent now: it was deferred or refused. */
+    bool deferOrReject();
+    /**
+        Queries the instances that track the likely prefill engines' queues. Returns true if a query
+        was sent; onPrefillEstimates() continues.
+    */
+    bool queryPrefillEstimates();
+    void onPrefillEstimates(const std::vector<UpstreamPointer> &engines,
+                            const BookExchange::Offers &estimates);
     void sendChosen();
-    void hold(const PromptOutlook &outlook);
-    void releaseHeld();
-    bool mayRepeat();
-    bool takeRepeat();
+    void deferPrompt(const PromptOutlook &outlook);
+    void leaveDeferredQueue();
+    bool mayRetry();
+    /** Takes one retry from the service's retry budget; returns false if none may be made. */
+    bool takeRetry();
     void sendPrefill();
     void sendRun(std::string cacheSource);
-    void send(const UpstreamPointer &upstream, const OutboundFields &fields, Millis patience);
+    void send(const UpstreamPointer &upstream, const OutboundFields &fields, Millis timeout);
     UpstreamHooks hooks();
     OutboundFields outbound(const UpstreamEntry &upstream) const;
+    /** Returns the scheduling urgency sent to the engine: 0 is the most urgent, 9 the least. */
     int urgency() const;
-    Millis patience() const;
-    Millis readerPatience() const;
+    /** Returns how long an upstream may show no sign of a response before it counts as silent. */
+    Millis silenceTimeout() const;
+    Millis prefillSilenceTimeout() const;
 
     void onHead(HttpHead &head);
     void onBody(std::string_view data);
@@ -124,22 +138,25 @@
     void onEnd(const UpstreamEnd &end);
     void prefillEnded(const UpstreamEnd &end);
     void runEnded(const UpstreamEnd &end);
-    void refusedUnrun();
-    void promptWasReadApart();
-    /** Looks for an engine that may fetch what was read apart, and remembers it. */
-    bool hasOtherRunner();
-    void runElsewhere();
-    void runHandedOver();
+    /** The upstream stated that it did not run the request. */
+    void onNotExecuted();
+    /** A prefill engine holds the prompt's KV cache, for the decode engine to fetch. */
+    void prefillSucceeded();
+    /** Chooses another decode engine to fetch the prefilled KV cache; returns false if none can. */
+    bool chooseOtherDecodeEngine();
+    void runOnOtherEngine();
+    void runWithCache();
     void attemptFailed(const UpstreamEnd &end);
-    void answered();
+    void responseCompleted();
 
     void noteLimit(const UpstreamEntry &upstream);
     void noteEvent();
-    void recordSign(AttemptSign sign);
-    void promptRead();
-    void began();
-    void settleAttempt();
-    void releaseHandle();
+    void recordOutcome(AttemptSign outcome);
+    void notePrefillDone();
+    void noteExecutionStarted();
+    /** Removes the attempt from the load estimates. */
+    void closeAttempt();
+    void releaseCacheHandle();
 
     void onDeadline();
     void onSilence();
@@ -147,16 +164,17 @@
     void refuse(int status, GiveUpCause cause, std::optional<Millis> retryAfter,
                 const std::string &why);
     void giveUp(GiveUpCause cause, const std::string &why);
-    void giveUpAsBefore() { giveUp(lastCause_, lastProblem_); }
-    Millis comeBackAfter() const;
+    void giveUpWithLastCause() { giveUp(lastCause_, lastProblem_); }
+    /** Returns the Retry-After of a refusal, spread over the callers. */
+    Millis callerRetryAfter() const;
     void logPlaced(const UpstreamEntry &upstream) const;
     void logAttempt(const UpstreamEnd &end) const;
     void logEnd(const EventKind &kind, int status, std::optional<GiveUpCause> cause = std::nullopt,
                 const std::string &why = {}) const;
-    /** Whether an answer came later than the route's goals, and by which of them. */
+    /** Returns which of the route's latency goals the response missed, or "no". */
     const char *lateness() const;
-    void firstAnswer();
-    void over(RequestOutcome outcome);
+    void noteFirstResponse();
+    void endRequest(RequestOutcome outcome);
 
     RelayContext &context_;
     std::shared_ptr<HttpExchange> exchange_;
@@ -167,49 +185,51 @@
     int urgency_ = 5;
     std::string service_;
     Millis arrivedAt_;
-    Millis endsAt_;
-    Deadline deadline_;
-    /** Runs while nothing of an answer has come, where another upstream may take over. */
-    Deadline silence_;
-    /** Runs while the prompt is kept back. */
-    Deadline heldLook_;
+    Millis deadlineAt_;
+    Deadline deadlineTimer_;
+    /** Runs until the response begins; on expiry another upstream may be tried. */
+    Deadline silenceTimer_;
+    /** Runs while the prompt is deferred; on expiry placement is tried again. */
+    Deadline deferralTimer_;
 
     UpstreamCall call_;
     Attempt attempt_;
-    SseReader events_;
+    SseReader sseReader_;
     std::set<std::string> tried_;
     mutable std::optional<RequestFingerprint> fingerprint_;
     std::vector<UpstreamPointer> candidates_;
-    int creditsAsked_ = 0;
-    /** When the first of the upstreams that refused a credit may have room. */
-    Millis limitComeBack_ = Millis::never();
-    /** Upstreams that may have run it. */
+    int creditRequests_ = 0;
+    /** How soon the first of the upstreams that refused a credit may take a request again. */
+    Millis limitRetryAfter_ = Millis::never();
+    /** Attempts in which an upstream may have run the request. */
     int sends_ = 0;
-    /** Of these, broke off. */
-    int breaks_ = 0;
+    /** Of these, attempts whose connection broke. */
+    int brokenAttempts_ = 0;
     int connectFailures_ = 0;
-    /** Upstreams that stated that they did not run it. */
+    /** Upstreams that stated that they did not run the request. */
     int refusals_ = 0;
     bool wasSent_ = false;
-    bool isFirstCounted_ = false;
-    /** An upstream may have run it; no refusal may say otherwise any more. */
+    bool isFirstSendCounted_ = false;
+    /** An upstream may have run the request, so it must no longer be refused as not run. */
     bool mayHaveRun_ = false;
-    bool wasHeld_ = false;
-    bool isHeld_ = false;
-    bool wasAsked_ = false;
-    /** What books say of this prompt; filled only while an engine is chosen by it. */
-    std::unordered_map<std::string, ReadingOffer> offers_;
-    BookExchange::Entry entry_;
+    bool wasDeferred_ = false;
+    bool isDeferred_ = false;
+    bool hasQueriedEstimates_ = false;
+    /** Prefill estimates for this prompt by engine; filled only while an engine is chosen by them.
+     */
+    std::unordered_map<std::string, ReadingOffer> prefillEstimates_;
+    /** This prompt's entry in the prefill tracker of its engine. */
+    BookExchange::Entry trackedPrefill_;
     QuotaGrant quotaGrant_;
     bool isHandOverAllowed_ = true;
-    /** A reader had this prompt once. */
-    bool wasReadApart_ = false;
-    UpstreamPointer otherRunner_;
-    bool hasBegun_ = false;
-    bool isAnswering_ = false;
-    bool isOver_ = false;
-    std::string handle_;
-    std::optional<std::uint64_t> lastEvent_;
+    /** A prefill engine has been sent this prompt. */
+    bool wasPrefillSent_ = false;
+    UpstreamPointer otherDecodeEngine_;
+    bool hasStarted_ = false;
+    bool hasResponseStarted_ = false;
+    bool hasEnded_ = false;
+    std::string cacheHandle_;
+    std::optional<std::uint64_t> lastEventId_;
     StreamProgress stream_;
     GiveUpCause lastCause_ = GiveUpCause::NoUpstream;
     std::string lastProblem_ = "no upstream of the service is available";
