--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -10,16 +10,16 @@
 
 namespace {
 
-/** How often leases, usage and the planned stop are looked at. */
-constexpr Millis tickEvery = Millis(100);
-/** The balancer asks each second and takes an instance out after two misses. */
-constexpr Millis balancerNotices = Millis(2500);
-/** A caller sends its request within this after its connection was accepted: two travels. */
-constexpr Millis acceptedSends = Millis(300);
-/** Kept for writing the last usage before the platform kills the process. */
-constexpr Millis endReserve = Millis(400);
-/** Each sweep of the deadlines; the time-outs looked for are no longer than that. */
-constexpr Millis bookTickEvery = Millis(10);
+/** Interval of the periodic work: leases, usage, graceful shutdown. */
+constexpr Millis tickInterval = Millis(100);
+/** The load balancer probes each second and removes an instance after two failed probes. */
+constexpr Millis balancerDelay = Millis(2500);
+/** A caller's first request arrives within this time after accept: two network delays. */
+constexpr Millis firstRequestDelay = Millis(300);
+/** Reserved for writing the last usage before the platform kills the process. */
+constexpr Millis finalWriteReserve = Millis(400);
+/** Runs in every sweep of the deadlines, as the queries' time-outs are no longer than a sweep. */
+constexpr Millis queryTickInterval = Millis(10);
 
 HttpServerLimits serverLimits(const CallerLimits &caller, const InstanceSettings &settings)
 {
@@ -29,7 +29,7 @@
     limits.headTimeout = caller.headTimeout;
     limits.headTooLargeStatus = 431;
     limits.idleTimeout = caller.idleTimeout;
-    // A quarter of the memory for bodies; half of the descriptors for callers.
+    // A quarter of the memory is for bodies, half of the descriptors for callers.
     limits.allBodyBytes = std::uint64_t{settings.memoryMb} * 1024 * 1024 / 4;
     limits.connections = settings.descriptors / 2;
     return limits;
@@ -52,7 +52,7 @@
     return timing;
 }
 
-InstanceLife lifeOf(const InstanceSettings &settings, std::int64_t wallMillis)
+InstanceLife incarnationOf(const InstanceSettings &settings, std::int64_t wallMillis)
 {
     return InstanceLife{InstanceId(settings.name), static_cast<Incarnation>(wallMillis)};
 }
@@ -76,25 +76,25 @@
       sync_(context_, environment_.store, environment_.random),
       registry_(registrationOf(settings_), settings_.isFirstStart, environment_.store,
                 environment_.clock, environment_.random),
-      lease_(lifeOf(settings_, environment_.wallMillis()), registry_,
-             {observed(environment_.store, [this] { sync_.storeInDoubt(); }), environment_.clock,
+      lease_(incarnationOf(settings_, environment_.wallMillis()), registry_,
+             {withFailureHook(environment_.store, [this] { sync_.noteStoreFailure(); }), environment_.clock,
               environment_.random, environment_.events, nullptr, nullptr}),
       peers_(context_, registry_, environment_.random,
              [this](const std::string &text) {
-                 sync_.takeConfigurationText(text, "another instance");
+                 sync_.applyConfigurationText(text, "another instance");
              }),
       fabric_(
           {environment_.io, environment_.clock, environment_.store, environment_.events},
           settings_.links,
           [this](const PeerAddress &from, const std::string &frame) { onPeerFrame(from, frame); }),
-      bookTick_(environment_.deadlines,
-                [this] {
-                    context_.prefillExchange->tick();
-                    context_.quotas->tick();
-                    context_.quarantine->tick();
-                    context_.limits->tick();
-                    bookTick_.setAfter(bookTickEvery);
-                }),
+      queryTick_(environment_.deadlines,
+                 [this] {
+                     context_.prefillExchange->tick();
+                     context_.quotas->tick();
+                     context_.quarantine->tick();
+                     context_.limits->tick();
+                     queryTick_.setAfter(queryTickInterval);
+                 }),
       feeds_(environment_.clock, fabric_.transport(), sync_.configuration(), sync_.upstreams()),
       usage_(settings_.name + "." + std::to_string(environment_.wallMillis()),
              usageTiming(settings_), usageHooks()),
@@ -120,12 +120,12 @@
                                         environment_.random, environment_.events});
     context_.quarantine->setLinkCheck(feeds_.isLinked);
     if (settings_.links.isSet()) {
-        context_.prefillExchange = std::make_unique<BookExchange>(settings_.links.toString(),
-                                                        fabric_.transport(), environment_.clock);
+        context_.prefillExchange = std::make_unique<BookExchange>(
+            settings_.links.toString(), fabric_.transport(), environment_.clock);
         context_.prefillExchange->hadReadNothing = [this](EngineKey engine, Millis at) {
-            return hadReadNothing(engine, at);
+            return hadNoPrefill(engine, at);
         };
-        bookTick_.setAfter(bookTickEvery);
+        queryTick_.setAfter(queryTickInterval);
     }
 }
 
@@ -133,8 +133,8 @@
 
 RegisteredInstance Gateway::registrationOf(const InstanceSettings &settings)
 {
-    const auto textOf = [](const HostPort &place) {
-        return place.isSet() ? place.toString() : std::string();
+    const auto textOf = [](const HostPort &address) {
+        return address.isSet() ? address.toString() : std::string();
     };
     return {InstanceId(settings.name), textOf(settings.admin), textOf(settings.links),
             settings.failureDomain};
@@ -158,9 +158,9 @@
     return true;
 }
 
-std::int64_t Gateway::trueTime() const
+std::int64_t Gateway::wallTime() const
 {
-    // The time of day can jump on a single machine; the steady clock since the start does not.
+    // The wall clock of a machine can jump; the steady clock, offset at the start, does not.
     return wallOffset_ + environment_.clock.now().count();
 }
 
@@ -237,7 +237,7 @@
 
 void Gateway::armTick()
 {
-    timer_.expires_after(std::chrono::milliseconds(tickEvery.count()));
+    timer_.expires_after(std::chrono::milliseconds(tickInterval.count()));
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (error)
             return;
@@ -274,9 +274,9 @@
 
 GatewayUsage::Hooks Gateway::usageHooks()
 {
-    UsageDuty::Hooks duty{observed(environment_.store, [this] { sync_.storeInDoubt(); }),
+    UsageDuty::Hooks duty{withFailureHook(environment_.store, [this] { sync_.noteStoreFailure(); }),
                           environment_.clock,
-                          [this] { return trueTime(); },
+                          [this] { return wallTime(); },
                           environment_.events,
                           wire_.reportUsage,
                           [this] { return lease_.authority(); }};
@@ -291,7 +291,7 @@
     if (isDraining_)
         return;
     isDraining_ = true;
-    drainStarted_ = environment_.clock.now();
+    drainStartedAt_ = environment_.clock.now();
     onDrained_ = std::move(onDrained);
     environment_.events(Event{&events::processStopping, {{"instance", settings_.name}}});
     callers_.closeAfterAnswers();
@@ -304,7 +304,8 @@
     timer_.cancel();
     sync_.stop();
     fabric_.stop();
-    // Questions hold requests, which refer to what goes before the books do.
+    // Pending queries hold requests, which refer to members that are destroyed before the
+    // exchanges.
     if (context_.prefillExchange)
         context_.prefillExchange->dropQuestions();
     context_.quotas->dropQuestions();
@@ -317,19 +318,19 @@
 
 void Gateway::tickDrain()
 {
-    const Millis since = environment_.clock.now() - drainStarted_;
-    const bool isLate = since > settings_.grace - endReserve;
-    if (since < balancerNotices)
+    const Millis elapsed = environment_.clock.now() - drainStartedAt_;
+    const bool isLate = elapsed > settings_.grace - finalWriteReserve;
+    if (elapsed < balancerDelay)
         return;
-    // Callers that the balancer goes on sending, or that come by themselves, would keep the process
-    // busy until it is killed with their requests half answered. Refused, they go elsewhere at
+    // Connections that the balancer still forwards, or that callers open directly, would keep the
+    // process busy until it is killed with half-sent responses. Refused callers go elsewhere at
     // once.
     if (!hasStoppedListening_) {
         hasStoppedListening_ = true;
         callers_.stopListening();
     }
-    // What idles is closed a moment later; what was accepted just now still sends its request.
-    if (since >= balancerNotices + acceptedSends)
+    // Idle connections are closed a moment later, as one accepted just now still sends a request.
+    if (elapsed >= balancerDelay + firstRequestDelay)
         callers_.closeIdle();
     const bool isIdle = context_.counters.inProgress == 0 && callers_.openConnections() == 0;
     if (isIdle)
--- a/modules/gateway/Gateway.h
+++ b/modules/gateway/Gateway.h
@@ -22,27 +22,27 @@
 namespace cuminrail {
 
 /**
-    One instance: takes requests, follows the store, holds duties when it is its turn, and stops
-    without cutting a request.
+    One instance: serves requests, follows the store, performs duties while it holds the lease, and
+    shuts down without truncating a response.
 
-    Runs on one event loop. The instances of today have a quarter of one core each, which a second
-    thread would only share; one loop spares every lock.
+    Runs on one event loop. An instance has a quarter of one core, which a second thread would only
+    share; with a single loop no locks are needed.
 */
 class Gateway
 {
 public:
-    /** What the instance is given to live with. */
+    /** External dependencies of the instance: event loop, clocks, random numbers, log, store. */
     struct Environment
     {
         boost::asio::io_context &io;
         DeadlineList &deadlines;
         Clock clock;
-        /** Milliseconds since 1970 as the machine tells them now. */
+        /** The machine's wall clock in milliseconds since 1970. */
         std::function<std::int64_t()> wallMillis;
         RandomHook random;
         EventSink events;
         ObjectStore store;
-        /** Log lines left out since the start. */
+        /** Number of log lines dropped since the start. */
         std::function<std::uint64_t()> logLinesDropped;
     };
 
@@ -51,29 +51,29 @@
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
 
-    /** Listens and begins to follow the store. */
+    /** Starts listening and following the store. */
     bool start(Reason *lastReason);
-    /** For the metrics: a call of the platform ended. */
+    /** Records the duration of a finished platform call in the metrics. */
     void platformCallEnded(const char *what, bool wasAnswered, Millis took)
     {
         context_.metrics.platformCall(what, wasAnswered, took.toSeconds());
     }
-    /** Begins the planned stop; the hook is called when the last request is answered. */
+    /** Begins a graceful shutdown; @c onDrained is called when the last response is complete. */
     void drain(std::function<void()> onDrained);
     /**
-        Ends every connection. What the event loop still holds must run once more before this object
-        goes: it refers to the servers here.
+        Closes every connection. Run the event loop once more before destroying this object:
+        handlers that are still queued refer to the servers here.
     */
     void shutDown();
-    /** Where the instance listens; of interest where the settings say 0, any free port. */
+    /** Ports that the instance listens on; of use if the settings say 0, for any free port. */
     std::uint16_t callersPort() const { return callers_.port(); }
     std::uint16_t readinessPort() const { return readiness_.port(); }
     std::uint16_t adminPort() const { return admin_.port(); }
     bool isReady() const;
-    /** Takes in a configuration from another source than the store, if it is newer. */
+    /** Applies a configuration from another source than the store, if it is newer. */
     void takeConfiguration(const std::string &text, const std::string &source)
     {
-        sync_.takeConfigurationText(text, source);
+        sync_.applyConfigurationText(text, source);
     }
     /** The whole state as JSON, without caller keys. */
     std::string stateText() const;
@@ -90,15 +90,16 @@
     void tick();
     void tickDrain();
     void tickPeers();
-    void setReach();
-    /** Whether an engine had read no prompt at an instant of this machine's clock. */
-    bool hadReadNothing(EngineKey engine, Millis at) const;
-    void joinGroup();
+    /** Updates the share of instances that this one has links to. */
+    void updateReach();
+    /** Returns whether an engine had no prefilled prompt yet at a time of the steady clock. */
+    bool hadNoPrefill(EngineKey engine, Millis at) const;
+    void updateGroup();
     void onPeerFrame(const PeerAddress &from, const std::string &frame);
-    /** Instances to which this one may give its usage ledger. */
+    /** Returns the instances to which this one may send its usage ledger. */
     std::vector<PeerAddress> ledgerCollectors();
     GatewayUsage::Hooks usageHooks();
-    std::int64_t trueTime() const;
+    std::int64_t wallTime() const;
     GatewayGauges gauges() const;
     AdminPages adminPages();
 
@@ -117,20 +118,20 @@
     Millis startedAt_;
     PeerConfiguration peers_;
     PeerFabric fabric_;
-    /** Looks for questions to other instances whose time is over. */
-    Deadline bookTick_;
+    /** Expires queries to other instances. */
+    Deadline queryTick_;
     std::uint64_t peersRevision_ = 0;
-    Millis nextReach_;
+    Millis nextReachUpdateAt_;
     FeedGroup feeds_;
     InstanceGroup group_;
-    /** True time less the steady clock's, as of the start. */
+    /** Wall clock minus steady clock, at the start. */
     std::int64_t wallOffset_ = environment_.wallMillis() - environment_.clock.now().count();
     GatewayUsage usage_;
     StageDuty stages_;
     ScaleDuty scale_;
     boost::asio::steady_timer timer_;
     bool isDraining_ = false;
-    Millis drainStarted_;
+    Millis drainStartedAt_;
     bool hasStoppedListening_ = false;
     std::function<void()> onDrained_;
 };
--- a/modules/gateway/GatewayPeers.cpp
+++ b/modules/gateway/GatewayPeers.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** By then the instances of a system that starts for the first time know one another. */
-constexpr Millis firstStartSettles = Millis(5000);
-/** Instances that a small failure domain's instance gives its ledger when its own write fails. */
-constexpr int substituteCollectors = 2;
-/** How often the links that are ready are counted. */
-constexpr Millis reachEvery = Millis::seconds(1);
+/** On the first start of a system, its instances know one another after this time. */
+constexpr Millis firstStartSettleTime = Millis(5000);
+/** Collectors tried in a small failure domain when an instance cannot write its ledger itself. */
+constexpr int fallbackCollectors = 2;
+/** Interval at which the established links are counted. */
+constexpr Millis reachInterval = Millis::seconds(1);
 
 } // namespace
 
@@ -20,7 +20,7 @@
     if (!context_.prefillExchange)
         return;
     fabric_.tick();
-    setReach();
+    updateReach();
     if (peersRevision_ == registry_.revision())
         return;
     peersRevision_ = registry_.revision();
@@ -37,15 +37,15 @@
     context_.quarantine->setPeers(peers);
     context_.prefillExchange->setPeers(std::move(peers));
     fabric_.holdLinks(context_.prefillExchange->keepers());
-    joinGroup();
+    updateGroup();
 }
 
-void Gateway::setReach()
+void Gateway::updateReach()
 {
     const Millis now = environment_.clock.now();
-    if (now < nextReach_)
+    if (now < nextReachUpdateAt_)
         return;
-    nextReach_ = now + reachEvery;
+    nextReachUpdateAt_ = now + reachInterval;
     const auto &instances = registry_.instances();
     const auto linked = std::count_if(instances.begin(), instances.end(), [this](const auto &each) {
         return each.instance.text() == settings_.name || fabric_.isLinked(each.links);
@@ -56,10 +56,10 @@
     context_.limits->setReach(reach);
 }
 
-bool Gateway::hadReadNothing(EngineKey engine, Millis at) const
+bool Gateway::hadNoPrefill(EngineKey engine, Millis at) const
 {
-    // The instances of a whole system that starts for the first time find engines that nobody used.
-    if (settings_.isFirstStart && at < startedAt_ + firstStartSettles)
+    // On the first start of a whole system, the engines have not been used by any instance.
+    if (settings_.isFirstStart && at < startedAt_ + firstStartSettleTime)
         return true;
     for (const auto &[id, record] : context_.directory.all()) {
         if (engineKey(*record) == engine)
@@ -68,7 +68,7 @@
     return false;
 }
 
-void Gateway::joinGroup()
+void Gateway::updateGroup()
 {
     const auto watchers = static_cast<std::size_t>(settings_.decisions.feedWatchers);
     group_ = InstanceGroup::of(registry_.instances(), registrationOf(settings_));
@@ -82,10 +82,10 @@
 
 void Gateway::onPeerFrame(const PeerAddress &from, const std::string &frame)
 {
-    const bool isTaken = feeds_.received(from, frame) || usage_.received(from, frame)
+    const bool isHandled = feeds_.received(from, frame) || usage_.received(from, frame)
         || context_.quotas->received(from, frame) || context_.quarantine->received(from, frame)
         || context_.limits->received(from, frame);
-    if (!isTaken)
+    if (!isHandled)
         context_.prefillExchange->received(from, frame);
 }
 
@@ -93,10 +93,11 @@
 {
     if (group_.isShared)
         return group_.collectors;
-    // The first entry is this instance. Another one may be turned away by the store as well.
+    // The first entry is this instance. The store may refuse the next one too, so several are
+    // tried.
     const auto &instances = registry_.instances();
     std::vector<PeerAddress> collectors;
-    for (int i = 0; fabric_.isOpen() && instances.size() > 1 && i < substituteCollectors; ++i) {
+    for (int i = 0; fabric_.isOpen() && instances.size() > 1 && i < fallbackCollectors; ++i) {
         const auto &peer = instances[1 + environment_.random() % (instances.size() - 1)];
         if (!peer.links.empty())
             collectors.push_back(peer.links);
--- a/modules/gateway/GatewayWire.h
+++ b/modules/gateway/GatewayWire.h
@@ -14,17 +14,17 @@
 
 namespace cuminrail {
 
-/** Under which authority the platform is told something. */
+/** The lease under which a duty's call to the platform is made. */
 struct DutyAuthority
 {
-    /** The instance's name. */
+    /** The name of the instance that holds the lease. */
     std::string holder;
     std::uint64_t fence = 0;
-    /** The end of the lease; a call's connection does not outlive it. */
+    /** The end of the lease; the call's connection is closed by then. */
     Millis notAfter;
 };
 
-/** How many upstreams of a service there should be in a failure domain. */
+/** The wanted number of upstreams of a service in a failure domain. */
 struct ScaleTarget
 {
     std::string service;
@@ -33,12 +33,12 @@
     bool isReclaimable = false;
 };
 
-/** How a call under authority ended. */
+/** Result of a call made under a lease. */
 enum class DutyResult : std::uint8_t {
     Accepted,
-    /** It had no effect, and will have none. */
+    /** The call had no effect and will have none. */
     Refused,
-    /** It may have had an effect. */
+    /** The call may have had, or may still have, an effect. */
     Unknown,
 };
 
@@ -48,24 +48,24 @@
     {DutyResult::Unknown, "unknown"},
 }}};
 
-/** What an engine says of itself, as far as orders need it. */
+/** The part of an engine's state report that orders depend on. */
 struct EngineReportBrief
 {
     EngineStage stage = EngineStage::Whole;
-    /** An order is being carried out. */
+    /** The engine is executing an order. */
     bool isBusy = false;
-    /** How many orders it has accepted since its start. */
+    /** Number of orders that the engine has accepted since its start. */
     std::uint64_t ordersAccepted = 0;
 };
 
 using DutyCompletion = std::function<void(DutyResult, const Reason &)>;
 
-/** The messages of the outside world, as functions between them and the product's types. */
+/** Hooks that encode, decode and send the messages of the outside protocols. */
 struct GatewayWire
 {
-    /** The header that carries a request's identity both ways. */
+    /** The header that carries the request's identity in requests and responses. */
     std::string identityHeader;
-    /** Where upstreams and the configuration lie in the store. */
+    /** Paths of the upstreams and of the configuration in the store. */
     std::string upstreamsPath;
     std::string configurationPath;
 
@@ -75,6 +75,7 @@
         encodeRequest;
     std::function<AnswerTraits(const HttpHead &)> decodeAnswer;
     std::function<std::vector<HttpHeader>(const HttpHead &)> callerHeaders;
+    /** Builds a response that the gateway itself generates. */
     std::function<HttpAnswer(int status, const std::string &requestId,
                              std::optional<Millis> retryAfter, const std::string &why)>
         ownAnswer;
@@ -92,7 +93,7 @@
     std::function<void(const UpstreamEntry &,
                        std::function<void(const std::optional<EngineReportBrief> &)>)>
         readEngine;
-    /** Has effect only while the engine has accepted exactly so many orders. */
+    /** Takes effect only if the engine has accepted exactly @c ordersAccepted orders so far. */
     std::function<void(const UpstreamEntry &, EngineStage to, std::uint64_t ordersAccepted,
                        const DutyAuthority &, DutyCompletion)>
         orderStage;
--- a/modules/gateway/control/FleetDuties_test.cpp
+++ b/modules/gateway/control/FleetDuties_test.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** A context whose wire records orders, on a clock that the test sets. */
-struct DutyBench
+/** A context whose protocol hooks record orders, on a clock that the test sets. */
+struct DutyFixture
 {
-    DutyBench() : deadlines(io, Clock([this] { return now; }))
+    DutyFixture() : deadlines(io, Clock([this] { return now; }))
     {
         wire.orderUpstreams = [this](const ScaleTarget &target, const DutyAuthority &,
                                      const DutyCompletion &done) {
@@ -38,7 +38,7 @@
         context.index = std::make_shared<const RouteIndex>(std::move(configuration));
     }
 
-    void list(const std::string &id, EngineStage stage, bool isReclaimable = false)
+    void addEngine(const std::string &id, EngineStage stage, bool isReclaimable = false)
     {
         UpstreamEntry entry;
         entry.id = id;
@@ -77,67 +77,71 @@
 
 } // namespace
 
+// Orders sent in every tick would flood the platform; an order that had no effect must be sent
+// again.
 TEST_CASE("wanted numbers are ordered once, and again only when the fleet does not follow")
 {
-    DutyBench bench;
-    ScaleDuty duty(bench.context, bench.authority());
+    DutyFixture fixture;
+    ScaleDuty duty(fixture.context, fixture.authority());
     for (const char *id : {"r-1", "r-2", "r-3"})
-        bench.list(id, EngineStage::Decode);
+        fixture.addEngine(id, EngineStage::Decode);
     const auto run = [&](Millis span) {
-        for (const Millis end = bench.now + span; bench.now < end; bench.now += Millis(100))
+        for (const Millis end = fixture.now + span; fixture.now < end; fixture.now += Millis(100))
             duty.tick(false);
     };
     run(Millis(1400));
-    CHECK(bench.scaleOrders.empty());
+    CHECK(fixture.scaleOrders.empty());
     run(Millis(1000));
-    REQUIRE(bench.scaleOrders.size() == 1);
-    CHECK(bench.scaleOrders[0].wanted == 3);
-    CHECK(bench.scaleOrders[0].isReclaimable);
+    REQUIRE(fixture.scaleOrders.size() == 1);
+    CHECK(fixture.scaleOrders[0].wanted == 3);
+    CHECK(fixture.scaleOrders[0].isReclaimable);
     run(Millis(5000));
-    CHECK(bench.scaleOrders.size() == 1);
+    CHECK(fixture.scaleOrders.size() == 1);
     run(Millis(3000));
-    CHECK(bench.scaleOrders.size() == 2);
+    CHECK(fixture.scaleOrders.size() == 2);
     for (const char *id : {"c-1", "c-2", "c-3"})
-        bench.list(id, EngineStage::Decode, true);
+        fixture.addEngine(id, EngineStage::Decode, true);
     run(Millis(300));
-    REQUIRE(bench.scaleOrders.size() == 3);
-    CHECK_FALSE(bench.scaleOrders[2].isReclaimable);
-    CHECK(bench.scaleOrders[2].wanted == 1);
+    REQUIRE(fixture.scaleOrders.size() == 3);
+    CHECK_FALSE(fixture.scaleOrders[2].isReclaimable);
+    CHECK(fixture.scaleOrders[2].wanted == 1);
 }
 
-// The platform has no upstreams to give at the moment. Asked in every tick it would be flooded;
-// never asked again, the domain would stay without.
-TEST_CASE("refused orders are given again at intervals")
+// The platform has no capacity at the moment. Retried in every tick, orders would flood it; never
+// retried, the failure domain would stay without upstreams.
+TEST_CASE("refused orders are retried at intervals")
 {
-    DutyBench bench;
-    ScaleDuty duty(bench.context, bench.authority());
-    bench.list("r-1", EngineStage::Decode);
-    bench.scaleResult = DutyResult::Refused;
-    for (; bench.now < Millis(10000); bench.now += Millis(100))
+    DutyFixture fixture;
+    ScaleDuty duty(fixture.context, fixture.authority());
+    fixture.addEngine("r-1", EngineStage::Decode);
+    fixture.scaleResult = DutyResult::Refused;
+    for (; fixture.now < Millis(10000); fixture.now += Millis(100))
         duty.tick(false);
-    CHECK(bench.scaleOrders.size() >= 5);
-    CHECK(bench.scaleOrders.size() <= 14);
+    CHECK(fixture.scaleOrders.size() >= 5);
+    CHECK(fixture.scaleOrders.size() <= 14);
 }
 
-// The lease was lost, or the store is out: another instance may be in charge by now.
-TEST_CASE("without authority nothing is ordered")
+// The lease was lost or the store is down, so another instance may hold the duty by now; both would
+// send contradicting orders.
+TEST_CASE("without the lease nothing is ordered")
 {
-    DutyBench bench;
-    ScaleDuty scale(bench.context, bench.authority());
-    StageDuty stages(bench.context, bench.authority());
+    DutyFixture fixture;
+    ScaleDuty scale(fixture.context, fixture.authority());
+    StageDuty stages(fixture.context, fixture.authority());
     for (const char *id : {"r-1", "r-2", "r-3"})
-        bench.list(id, EngineStage::Decode);
-    bench.isHolder = false;
-    for (; bench.now < Millis(20000); bench.now += Millis(100)) {
+        fixture.addEngine(id, EngineStage::Decode);
+    fixture.isHolder = false;
+    for (; fixture.now < Millis(20000); fixture.now += Millis(100)) {
         scale.tick(true);
         stages.tick();
     }
-    CHECK(bench.scaleOrders.empty());
-    CHECK(bench.stageOrders.empty());
+    CHECK(fixture.scaleOrders.empty());
+    CHECK(fixture.stageOrders.empty());
 }
 
-// An order got no answer. It may still be carried out; a different one in between would contradict.
-TEST_CASE("an engine with an order in doubt gets no other one until its time is over")
+// An order without a response may still be executed; another order before it expires could
+// contradict it.
+TEST_CASE("an engine with an order in doubt gets no other order until it expires")
 {
     struct Row
     {
@@ -145,30 +149,32 @@
         std::size_t orders;
     };
     for (const Row &row : {Row{DutyResult::Unknown, 1}, Row{DutyResult::Accepted, 1}}) {
-        DutyBench bench;
-        StageDuty duty(bench.context, bench.authority());
+        DutyFixture fixture;
+        StageDuty duty(fixture.context, fixture.authority());
         for (const char *id : {"e-1", "e-2"})
-            bench.list(id, EngineStage::Decode);
-        bench.stageResult = row.result;
-        for (; bench.now < Millis(8000); bench.now += Millis(100))
+            fixture.addEngine(id, EngineStage::Decode);
+        fixture.stageResult = row.result;
+        for (; fixture.now < Millis(8000); fixture.now += Millis(100))
             duty.tick();
-        CHECK(bench.stageOrders.size() == row.orders);
+        CHECK(fixture.stageOrders.size() == row.orders);
     }
 }
 
-TEST_CASE("engines that are busy, silent, or changed already are not ordered")
+// The engine's state is read just before an order. If it does not respond, executes another order
+// or has the stage already, an order could contradict a pending one.
+TEST_CASE("engines that are busy, silent or already changed are not ordered")
 {
     for (const auto &report :
          {std::optional<EngineReportBrief>(),
           std::make_optional(EngineReportBrief{EngineStage::Decode, true, 4}),
           std::make_optional(EngineReportBrief{EngineStage::Prefill, false, 4})}) {
-        DutyBench bench;
-        StageDuty duty(bench.context, bench.authority());
+        DutyFixture fixture;
+        StageDuty duty(fixture.context, fixture.authority());
         for (const char *id : {"e-1", "e-2", "e-3"})
-            bench.list(id, EngineStage::Decode);
-        bench.report = report;
-        for (; bench.now < Millis(10000); bench.now += Millis(100))
+            fixture.addEngine(id, EngineStage::Decode);
+        fixture.report = report;
+        for (; fixture.now < Millis(10000); fixture.now += Millis(100))
             duty.tick();
-        CHECK(bench.stageOrders.empty());
+        CHECK(fixture.stageOrders.empty());
     }
 }
--- a/modules/gateway/control/FleetLease.cpp
+++ b/modules/gateway/control/FleetLease.cpp
@@ -11,8 +11,8 @@
 constexpr const char *fleetDuty = "fleet";
 
 /**
-    A holder that crashed is replaced within term and stagger, soon enough for a usage report that
-    is due ten seconds after its window. Renewals leave room for two that get lost.
+    A holder that crashed is replaced within the term plus the stagger, soon enough for a usage
+    report that is due ten seconds after its window. Two renewals in a row may be lost.
 */
 LeaseTiming leaseTiming()
 {
@@ -34,27 +34,27 @@
       lease_(fleetDuty, self, leaseTiming(), std::move(hooks)), startedAt_(clock_.now())
 { }
 
-bool FleetLease::isOutsiderLookDue(Millis now)
+bool FleetLease::isOutsiderCheckDue(Millis now)
 {
     const auto instances = static_cast<std::int64_t>(registry_.instances().size());
-    const Millis every = std::max(outsiderLookLeast, outsiderLookEach * instances);
-    if (nextOutsiderLook_ && now < *nextOutsiderLook_)
+    const Millis interval = std::max(minOutsiderInterval, outsiderIntervalPerInstance * instances);
+    if (nextOutsiderCheckAt_ && now < *nextOutsiderCheckAt_)
         return false;
-    // The first look is spread, as all instances may have started together.
-    const bool isFirst = !nextOutsiderLook_;
-    const auto spread =
-        static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(every.count()));
-    nextOutsiderLook_ = now + (isFirst ? Millis(spread) : every);
+    // The first poll is spread over the interval, as all instances may have started together.
+    const bool isFirst = !nextOutsiderCheckAt_;
+    const auto jitter =
+        static_cast<std::int64_t>(random_() % static_cast<std::uint64_t>(interval.count()));
+    nextOutsiderCheckAt_ = now + (isFirst ? Millis(jitter) : interval);
     return !isFirst;
 }
 
 void FleetLease::tick()
 {
     const Millis now = clock_.now();
-    if (!registry_.isSettled() && now - startedAt_ < unsettledMost)
+    if (!registry_.isSettled() && now - startedAt_ < maxUnsettledWait)
         return;
     const auto rank = DutySpread::rank(fleetDuty, self_, registry_.names(), candidates);
-    if (!rank && !isHeld() && !isLeaving_ && !isOutsiderLookDue(now))
+    if (!rank && !isHeld() && !isLeaving_ && !isOutsiderCheckDue(now))
         return;
     Candidacy candidacy;
     candidacy.isCandidate = !isLeaving_;
@@ -72,7 +72,7 @@
 {
     const Millis now = clock_.now();
     const auto held = lease_.authority(now);
-    if (!held || held->notAfter - now < leastAuthority)
+    if (!held || held->notAfter - now < minRemainingTerm)
         return std::nullopt;
     return DutyAuthority{self_.text(), held->fence, held->notAfter};
 }
--- a/modules/gateway/control/FleetLease.h
+++ b/modules/gateway/control/FleetLease.h
@@ -9,39 +9,39 @@
 namespace cuminrail {
 
 /**
-    This instance's part in the one lease under which duties are done.
+    This instance's participation in the single lease under which the fleet's duties are performed.
 
-    Load: hundreds of instances, each of which might have to take over. The first few by rank look
-    at the lease often; the others look now and then, in case that those are all gone, as every look
-    is a call that is paid for.
+    Load: hundreds of instances, each of which may have to take over. The first few by rank poll the
+    lease often. The others poll it rarely, in case all of those are gone, as every poll is a billed
+    call of the store.
 */
 class FleetLease
 {
 public:
-    /** Instances that look at the lease often. */
+    /** Number of instances that poll the lease often. */
     static constexpr std::size_t candidates = 3;
-    /** How often all others together look, and each of them at least waits. */
-    static constexpr Millis outsiderLookEach = Millis(250);
-    static constexpr Millis outsiderLookLeast = Millis(2000);
-    /** Without a list of instances by then, this one takes part all the same. */
-    static constexpr Millis unsettledMost = Millis(4000);
-    /** Calls under authority are not begun with less time than a slow answer takes. */
-    static constexpr Millis leastAuthority = Millis(1000);
+    /** Poll interval of all other instances together, and the minimum interval of each of them. */
+    static constexpr Millis outsiderIntervalPerInstance = Millis(250);
+    static constexpr Millis minOutsiderInterval = Millis(2000);
+    /** If the list of instances is not known by then, this instance takes part without it. */
+    static constexpr Millis maxUnsettledWait = Millis(4000);
+    /** No call is begun with less of the lease remaining than a slow response takes. */
+    static constexpr Millis minRemainingTerm = Millis(1000);
 
     FleetLease(const InstanceLife &self, const InstanceRegistry &registry, DutyLease::Hooks hooks);
 
-    /** Does what is due; to be called about ten times a second. */
+    /** Polls, renews or takes the lease when due; to be called about ten times a second. */
     void tick();
-    /** Gives the lease back, and takes it no more. */
+    /** Releases the lease and does not take it again. */
     void release();
     bool isHeld() const { return lease_.authority(clock_.now()).has_value(); }
-    /** Returns the right to act while it lasts long enough for a call. */
+    /** Returns the authority of the lease if enough of its term remains for a call. */
     std::optional<DutyAuthority> authority() const;
-    /** Returns true when no write of this instance may still change the lease. */
+    /** Returns true when no write of this instance can change the lease any more. */
     bool isQuiet() const { return lease_.isQuiet(); }
 
 private:
-    bool isOutsiderLookDue(Millis now);
+    bool isOutsiderCheckDue(Millis now);
 
     InstanceId self_;
     const InstanceRegistry &registry_;
@@ -49,7 +49,7 @@
     RandomHook random_;
     DutyLease lease_;
     Millis startedAt_;
-    std::optional<Millis> nextOutsiderLook_;
+    std::optional<Millis> nextOutsiderCheckAt_;
     bool isLeaving_ = false;
 };
 
--- a/modules/gateway/control/InstanceGroup.cpp
+++ b/modules/gateway/control/InstanceGroup.cpp
@@ -11,9 +11,8 @@
 
 constexpr const char *feedDuty = "feeds";
 constexpr const char *collectDuty = "usage-ledgers";
-/** With a third of them turned away by the store, one ledger in 27 has to be written by its owner.
- */
-constexpr std::size_t mostCollectors = 3;
+/** If the store refuses a third of the instances, one owner in 27 must write its own ledger. */
+constexpr std::size_t maxCollectors = 3;
 
 } // namespace
 
@@ -29,14 +28,14 @@
         links[instance.instance] = instance.instance == self.instance ? "" : instance.links;
     }
     InstanceGroup group;
-    group.isShared = domain.size() >= leastShared;
+    group.isShared = domain.size() >= minSharedSize;
     if (!group.isShared)
         return group;
     for (const InstanceId &instance : DutySpread::order(feedDuty, domain))
         group.watchOrder.push_back(links.at(instance));
     for (const InstanceId &instance : DutySpread::order(collectDuty, domain))
         group.collectors.push_back(links.at(instance));
-    group.collectors.resize(std::min(group.collectors.size(), mostCollectors));
+    group.collectors.resize(std::min(group.collectors.size(), maxCollectors));
     return group;
 }
 
--- a/modules/gateway/control/InstanceGroup.h
+++ b/modules/gateway/control/InstanceGroup.h
@@ -8,23 +8,23 @@
 
 namespace cuminrail {
 
-/** Which instances of a failure domain do something for the others there. */
+/** The instances of a failure domain that act on behalf of the others there. */
 struct InstanceGroup
 {
     /**
-        From how many instances of a failure domain on some act for the others. Fewer make fewer
-        calls by themselves than the messages between them are worth.
+        Smallest number of instances in a failure domain for which some act on behalf of the others.
+        With fewer instances, the saved calls are not worth the messages between them.
     */
-    static constexpr std::size_t leastShared = 8;
+    static constexpr std::size_t minSharedSize = 8;
 
-    /** False where each instance does everything for itself. */
+    /** False if every instance watches the store and writes its ledger itself. */
     bool isShared = false;
-    /** Links of those that watch the store, in the order in which they take over. */
+    /** Link addresses of the instances that watch the store, in takeover order. */
     std::vector<PeerAddress> watchOrder;
-    /** Links of those that collect usage ledgers, in the order in which they are tried. */
+    /** Link addresses of the instances that collect usage ledgers, in the order to try them. */
     std::vector<PeerAddress> collectors;
 
-    /** The address of @c self is empty in both orders. */
+    /** Computes the group of @c self, whose own address is empty in both lists. */
     static InstanceGroup of(const std::vector<RegisteredInstance> &instances,
                             const RegisteredInstance &self);
 };
--- a/modules/gateway/control/InstanceRegistry.cpp
+++ b/modules/gateway/control/InstanceRegistry.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr const char *prefix = "instances/";
-/** When those that started together with this instance have written their entries too. */
-constexpr Millis firstList = Millis(1200);
-constexpr std::uint64_t listSpreadMost = 5000;
+/** After this delay, instances that started together have written their entries too. */
+constexpr Millis settleDelay = Millis(1200);
+constexpr std::uint64_t maxListJitterMillis = 5000;
 
-/** An entry that cannot be read still counts as an instance, one that cannot be reached. */
+/** A malformed entry still counts as an instance, with no address. */
 std::string textMember(const nlohmann::json &entry, const char *name)
 {
     const auto found = entry.is_object() ? entry.find(name) : entry.end();
@@ -26,38 +26,40 @@
                                    ObjectStore store, Clock clock, RandomHook random)
     : self_(std::move(self)), path_(prefix + self_.instance.text()), store_(std::move(store)),
       clock_(std::move(clock)), random_(std::move(random)), instances_{self_},
-      startsWithOthers_(startsWithOthers), nextRefresh_(clock_.now()), nextList_(clock_.now())
+      startsWithOthers_(startsWithOthers), nextRefreshAt_(clock_.now()), nextListAt_(clock_.now())
 { }
 
-Millis InstanceRegistry::refreshEvery() const
+Millis InstanceRegistry::refreshInterval() const
 {
-    return std::max(refreshLeast, refreshEach * static_cast<std::int64_t>(instances_.size()));
+    return std::max(minRefreshInterval,
+                    refreshIntervalPerInstance * static_cast<std::int64_t>(instances_.size()));
 }
 
-Millis InstanceRegistry::retryAt(Millis &span) const
+Millis InstanceRegistry::retryAt(Millis &delay) const
 {
-    // All instances fail in the same outage; they must not all come back in the same second.
-    const auto half = static_cast<std::uint64_t>(span.count()) / 2;
-    const Millis wait = span / 2 + Millis(static_cast<std::int64_t>(random_() % (half + 1)));
-    span = std::min(span * 2, longestRetry);
+    // An outage fails the calls of all instances; they must not all retry in the same second.
+    const auto half = static_cast<std::uint64_t>(delay.count()) / 2;
+    const Millis wait = delay / 2 + Millis(static_cast<std::int64_t>(random_() % (half + 1)));
+    delay = std::min(delay * 2, maxRetryDelay);
     return clock_.now() + wait;
 }
 
 void InstanceRegistry::tick()
 {
     const Millis now = clock_.now();
-    // The spans grow with the instances that are known, so they are looked at anew each time.
-    const bool isRefreshDue = !refreshedAt_ || now - *refreshedAt_ >= refreshEvery();
-    if (!isLeaving_ && isRefreshDue && now >= nextRefresh_)
+    // The interval grows with the number of known instances, so it is evaluated in every tick.
+    const bool isRefreshDue = !refreshedAt_ || now - *refreshedAt_ >= refreshInterval();
+    if (!isLeaving_ && isRefreshDue && now >= nextRefreshAt_)
         refresh(now);
-    const bool isListDue = !listedAt_ || now - *listedAt_ >= refreshEvery() + listSpread_;
-    if (isListDue && now >= nextList_)
+    const bool isListDue = !listedAt_ || now - *listedAt_ >= refreshInterval() + listJitter_;
+    if (isListDue && now >= nextListAt_)
         list(now);
 }
 
 void InstanceRegistry::refresh(Millis now)
 {
-    // Where nobody ran before there is no entry; trying to replace it would be a call in vain.
+    // On the first start of a system there is no entry yet, so replacing one would be a wasted
+    // call.
     const bool isCreation = startsWithOthers_ && !refreshedAt_;
     refreshedAt_ = now;
     const nlohmann::json value{{"address", self_.address},
@@ -69,20 +71,20 @@
         put.expected = 0;
     store_.put(put, [this](const StoreReply &reply) {
         if (reply.status == StoreStatus::Ok) {
-            refreshRetry_ = firstRetry;
+            refreshRetryDelay_ = minRetryDelay;
             return;
         }
-        // Due again, and no creation any more.
+        // Due again, and no longer as a creation.
         refreshedAt_ = Millis(0);
-        nextRefresh_ =
-            reply.status == StoreStatus::Conflict ? clock_.now() : retryAt(refreshRetry_);
+        nextRefreshAt_ =
+            reply.status == StoreStatus::Conflict ? clock_.now() : retryAt(refreshRetryDelay_);
     });
 }
 
 void InstanceRegistry::list(Millis now)
 {
     listedAt_ = now;
-    listSpread_ = Millis(static_cast<std::int64_t>(random_() % listSpreadMost));
+    listJitter_ = Millis(static_cast<std::int64_t>(random_() % maxListJitterMillis));
     store_.list(prefix, [this](const StoreReply &reply) { listed(reply); });
 }
 
@@ -91,26 +93,26 @@
     const Millis now = clock_.now();
     if (reply.status != StoreStatus::Ok) {
         listedAt_.reset();
-        nextList_ = retryAt(listRetry_);
+        nextListAt_ = retryAt(listRetryDelay_);
         return;
     }
-    listRetry_ = firstRetry;
+    listRetryDelay_ = minRetryDelay;
     if (startsWithOthers_) {
         startsWithOthers_ = false;
         listedAt_.reset();
-        nextList_ = now + firstList;
+        nextListAt_ = now + settleDelay;
     } else {
         isSettled_ = true;
     }
-    const Millis staleAfter = refreshEvery() * refreshesMissed + staleSlack;
+    const Millis staleAfter = refreshInterval() * maxMissedRefreshes + staleSlack;
     instances_ = {self_};
     for (const StoreObject &object : reply.objects) {
         if (object.path == path_)
             continue;
-        Seen &seen = seen_[object.path];
-        if (seen.version != object.version)
-            seen = Seen{object.version, now};
-        if (now - seen.since > staleAfter) {
+        Observation &observation = observations_[object.path];
+        if (observation.version != object.version)
+            observation = Observation{object.version, now};
+        if (now - observation.changedAt > staleAfter) {
             store_.remove(object.path, object.version, [](const StoreReply &) {});
             continue;
         }
--- a/modules/gateway/control/InstanceRegistry.h
+++ b/modules/gateway/control/InstanceRegistry.h
@@ -13,67 +13,68 @@
 
 namespace cuminrail {
 
-/** Another instance, as it registered itself. */
+/** An instance as registered in the store. */
 struct RegisteredInstance
 {
     InstanceId instance;
-    /** Where it answers other instances; empty where it does not. */
+    /** HTTP address for requests of other instances; empty if it has none. */
     std::string address;
-    /** Where it takes links; empty where it takes none. */
+    /** Address on which it accepts links; empty if it accepts none. */
     PeerAddress links;
     std::string failureDomain;
 };
 
 /**
-    Which instances there are, by entries that they write to the store and refresh.
+    The list of instances, from entries that each instance writes to the store and refreshes.
 
-    Nothing here decides whether an instance lives; the number is needed to divide what all of them
-    share, and a few names to take turns. An entry that nobody refreshed for long is left out, and
-    removed by whoever notices.
+    This is no failure detector: the count is used to divide what all instances share, and the names
+    to rank them for duties. An entry that has not been refreshed for long is omitted from the list,
+    and removed from the store by any instance that notices.
 */
 class InstanceRegistry
 {
 public:
-    /** Entries are refreshed and read this often, with many instances less often. */
-    static constexpr Millis refreshLeast = Millis::seconds(20);
-    static constexpr Millis refreshEach = Millis(300);
-    /** An entry that missed so many refreshes, and some seconds, is left out. */
-    static constexpr int refreshesMissed = 3;
+    /** Interval at which entries are refreshed and listed; grows with the number of instances. */
+    static constexpr Millis minRefreshInterval = Millis::seconds(20);
+    static constexpr Millis refreshIntervalPerInstance = Millis(300);
+    /** An entry is omitted after this many missed refreshes plus the slack. */
+    static constexpr int maxMissedRefreshes = 3;
     static constexpr Millis staleSlack = Millis::seconds(5);
-    /** After a failed call, doubled up to the longest. */
-    static constexpr Millis firstRetry = Millis::seconds(2);
-    static constexpr Millis longestRetry = Millis::seconds(16);
+    /** Delay after a failed call, doubled with each failure up to the maximum. */
+    static constexpr Millis minRetryDelay = Millis::seconds(2);
+    static constexpr Millis maxRetryDelay = Millis::seconds(16);
 
-    /** @param startsWithOthers  the whole system starts, so most entries are yet to be written */
+    /** @param startsWithOthers  the whole system starts, so most entries are not written yet */
     InstanceRegistry(RegisteredInstance self, bool startsWithOthers, ObjectStore store, Clock clock,
                      RandomHook random);
 
-    /** Does what is due; to be called every few hundred milliseconds. */
+    /** Refreshes and lists entries when due; to be called every few hundred milliseconds. */
     void tick();
-    /** Removes the own entry, for a planned stop. */
+    /** Removes the own entry, for a graceful shutdown. */
     void leave();
 
-    /** Returns all instances known, this one included. */
+    /** Returns all known instances, this one first. */
     const std::vector<RegisteredInstance> &instances() const { return instances_; }
     std::vector<InstanceId> names() const;
-    /** The instances were read when those that start together had registered. */
+    /** Returns whether the instances were listed after those that start together had registered. */
     bool isSettled() const { return isSettled_; }
-    /** Rises each time the instances were read from the store. */
+    /** Incremented each time the instances are read from the store. */
     std::uint64_t revision() const { return revision_; }
 
 private:
-    struct Seen
+    /** The last change seen of another instance's entry. */
+    struct Observation
     {
         ObjectVersion version = 0;
-        Millis since;
+        Millis changedAt;
     };
 
     void refresh(Millis now);
     void list(Millis now);
     void listed(const StoreReply &reply);
-    Millis refreshEvery() const;
-    /** Returns when a failed call is made again, and doubles the span for the next time. */
-    Millis retryAt(Millis &span) const;
+    Millis refreshInterval() const;
+    /** Returns when to retry a failed call, and doubles the delay for the next failure. */
+    Millis retryAt(Millis &delay) const;
 
     RegisteredInstance self_;
     std::string path_;
@@ -81,21 +82,21 @@
     Clock clock_;
     RandomHook random_;
     std::vector<RegisteredInstance> instances_;
-    std::map<std::string, Seen> seen_;
+    std::map<std::string, Observation> observations_;
     std::uint64_t refreshes_ = 0;
     std::uint64_t revision_ = 1;
     bool startsWithOthers_ = false;
     bool isSettled_ = false;
-    Millis refreshRetry_ = firstRetry;
-    Millis listRetry_ = firstRetry;
-    /** Not set before the first call; then when the last one that counts was made. */
+    Millis refreshRetryDelay_ = minRetryDelay;
+    Millis listRetryDelay_ = minRetryDelay;
+    /** Time of the last call that need not be retried; unset before the first one. */
     std::optional<Millis> refreshedAt_;
     std::optional<Millis> listedAt_;
-    /** Over the common span, as all instances may have started in the same second. */
-    Millis listSpread_;
-    /** Not before, after a failed call. */
-    Millis nextRefresh_;
-    Millis nextList_;
+    /** Added to the interval, as all instances may have started in the same second. */
+    Millis listJitter_;
+    /** Earliest time of the next call after a failed one. */
+    Millis nextRefreshAt_;
+    Millis nextListAt_;
     bool isLeaving_ = false;
 };
 
--- a/modules/gateway/control/InstanceRegistry_test.cpp
+++ b/modules/gateway/control/InstanceRegistry_test.cpp
@@ -14,13 +14,13 @@
 
 constexpr std::size_t domains = 5;
 
-RegisteredInstance instanceAt(std::size_t place)
+RegisteredInstance instanceAt(std::size_t index)
 {
-    const std::string name = "i-" + std::to_string(place);
-    return {InstanceId(name), name + ":1", name + ":2", "d-" + std::to_string(place % domains)};
+    const std::string name = "i-" + std::to_string(index);
+    return {InstanceId(name), name + ":1", name + ":2", "d-" + std::to_string(index % domains)};
 }
 
-/** Instances that register in one store, in virtual time. */
+/** Instances that register in one store, in simulated time. */
 class RegistryCluster
 {
 public:
@@ -42,11 +42,11 @@
         });
     }
 
-    void start(std::size_t place, bool startsWithOthers)
+    void start(std::size_t index, bool startsWithOthers)
     {
         processes.push_back(std::make_shared<FakeProcess>("p-" + std::to_string(processes.size())));
         registries.push_back(std::make_unique<InstanceRegistry>(
-            instanceAt(place), startsWithOthers, store.port(processes.back()), scheduler.clock(),
+            instanceAt(index), startsWithOthers, store.port(processes.back()), scheduler.clock(),
             scheduler.random()));
     }
 
@@ -59,11 +59,15 @@
             }));
     }
 
-    std::size_t knownBy(std::size_t place) const { return registries[place]->instances().size(); }
+    std::size_t knownCount(std::size_t index) const
+    {
+        return registries[index]->instances().size();
+    }
 };
 
 } // namespace
 
+// More calls each would overload the store when a large system starts.
 TEST_CASE("instances that start together know one another after one write and two lists each")
 {
     for (const std::size_t count : {std::size_t{1}, std::size_t{6}, std::size_t{200}}) {
@@ -71,15 +75,15 @@
         RegistryCluster cluster(count, 3);
         cluster.scheduler.runFor(Millis::seconds(15));
         for (std::size_t i = 0; i < count; ++i) {
-            CHECK(cluster.knownBy(i) == count);
+            CHECK(cluster.knownCount(i) == count);
             CHECK(cluster.registries[i]->isSettled());
         }
         CHECK(cluster.sent() == 3 * count);
     }
 }
 
-// A process is replaced by another one while the others run. It must not take itself for one of
-// few, and act alone, until a second look.
+// A process is replaced while the other instances run. The new one must not assume that it is one
+// of few, and act alone, until its second list.
 TEST_CASE("an instance that starts later knows the others after its first list")
 {
     RegistryCluster cluster(20, 3);
@@ -87,11 +91,11 @@
     cluster.start(20, false);
     cluster.scheduler.runFor(Millis(300));
     CHECK(cluster.registries.back()->isSettled());
-    CHECK(cluster.knownBy(20) == 21);
+    CHECK(cluster.knownCount(20) == 21);
 }
 
-// The store answers nobody for half a minute. Two hundred instances that each try again every two
-// seconds would make six thousand calls in vain, and meet the store together when it is back.
+// The store is down for half a minute. If 200 instances retried every two seconds, they would make
+// 6,000 calls in vain, and all reach the store at once when it recovers.
 TEST_CASE("an outage of the store does not multiply the registry's calls")
 {
     RegistryCluster cluster(200, 3);
@@ -99,7 +103,8 @@
     cluster.network.setDown(FakeObjectStore::endpoint, true);
     const std::uint64_t before = cluster.sent();
     cluster.scheduler.runFor(Millis::seconds(30));
-    // A write and a list come due for each; doubled spans leave five tries of each at the most.
+    // One write and one list become due per instance; with doubled delays each is tried five times
+    // at most.
     CHECK(cluster.sent() - before <= 200 * 2 * 5);
     cluster.network.setDown(FakeObjectStore::endpoint, false);
     const std::uint64_t back = cluster.sent();
@@ -107,21 +112,22 @@
     CHECK(cluster.sent() - back <= 200 / 2);
     cluster.scheduler.runFor(Millis::seconds(200));
     for (std::size_t i = 0; i < 200; ++i)
-        CHECK(cluster.knownBy(i) == 200);
+        CHECK(cluster.knownCount(i) == 200);
 }
 
-TEST_CASE("an instance that is gone for good is left out in time")
+// An entry that is never refreshed would count as an instance forever.
+TEST_CASE("an instance that ended without leaving is omitted after missed refreshes")
 {
     RegistryCluster cluster(6, 3);
     cluster.scheduler.runFor(Millis::seconds(5));
     cluster.processes[4]->kill();
     cluster.scheduler.runFor(Millis::seconds(110));
-    CHECK(cluster.knownBy(0) == 5);
+    CHECK(cluster.knownCount(0) == 5);
 }
 
-// Instances see the registry at different moments. Those that agree on who is registered must agree
-// on who acts for a domain, and nobody acts for another domain.
-TEST_CASE("the instances of a domain agree on who acts for it")
+// Instances read the registry at different times. Those that see the same entries must choose the
+// same instances to act for their failure domain, and only instances of that domain.
+TEST_CASE("the instances of a failure domain agree on which of them act for it")
 {
     std::vector<RegisteredInstance> all;
     for (std::size_t i = 0; i < 60; ++i)
--- a/modules/gateway/control/ObservedStore.cpp
+++ b/modules/gateway/control/ObservedStore.cpp
@@ -4,26 +4,26 @@
 
 namespace cuminrail {
 
-ObjectStore observed(const ObjectStore &store, const std::function<void()> &onTrouble)
+ObjectStore withFailureHook(const ObjectStore &store, const std::function<void()> &onFailure)
 {
-    const auto watching = [onTrouble](StoreCompletion done) {
-        return [onTrouble, done = std::move(done)](const StoreReply &reply) {
+    const auto reporting = [onFailure](StoreCompletion done) {
+        return [onFailure, done = std::move(done)](const StoreReply &reply) {
             if (reply.status == StoreStatus::Unavailable || reply.status == StoreStatus::Unknown)
-                onTrouble();
+                onFailure();
             done(reply);
         };
     };
-    ObjectStore seen = store;
-    seen.get = [store, watching](const std::string &path, StoreCompletion done) {
-        store.get(path, watching(std::move(done)));
+    ObjectStore hooked = store;
+    hooked.get = [store, reporting](const std::string &path, StoreCompletion done) {
+        store.get(path, reporting(std::move(done)));
     };
-    seen.list = [store, watching](const std::string &prefix, StoreCompletion done) {
-        store.list(prefix, watching(std::move(done)));
+    hooked.list = [store, reporting](const std::string &prefix, StoreCompletion done) {
+        store.list(prefix, reporting(std::move(done)));
     };
-    seen.put = [store, watching](const StorePut &put, StoreCompletion done) {
-        store.put(put, watching(std::move(done)));
+    hooked.put = [store, reporting](const StorePut &put, StoreCompletion done) {
+        store.put(put, reporting(std::move(done)));
     };
-    return seen;
+    return hooked;
 }
 
 } // namespace cuminrail
--- a/modules/gateway/control/ObservedStore.h
+++ b/modules/gateway/control/ObservedStore.h
@@ -6,7 +6,7 @@
 
 namespace cuminrail {
 
-/** Returns the store with a hook that learns of reads and writes that failed. */
-ObjectStore observed(const ObjectStore &store, const std::function<void()> &onTrouble);
+/** Wraps a store so that @c onFailure is called after each read or write that failed. */
+ObjectStore withFailureHook(const ObjectStore &store, const std::function<void()> &onFailure);
 
 } // namespace cuminrail
--- a/modules/gateway/control/PeerConfiguration.cpp
+++ b/modules/gateway/control/PeerConfiguration.cpp
@@ -4,9 +4,9 @@
 
 namespace {
 
-constexpr Millis patience = Millis(500);
-/** The largest configuration that the store holds. */
-constexpr std::size_t mostBytes = 1U << 20U;
+constexpr Millis queryTimeout = Millis(500);
+/** Size of the largest configuration that the store can hold. */
+constexpr std::size_t maxConfigurationBytes = 1U << 20U;
 
 } // namespace
 
@@ -20,32 +20,32 @@
 void PeerConfiguration::tick(bool isStoreSilent)
 {
     const Millis now = context_.now();
-    if (!isStoreSilent || now < nextAt_ || context_.index == nullptr)
+    if (!isStoreSilent || now < nextQueryAt_ || context_.index == nullptr)
         return;
-    nextAt_ = now + askEvery;
+    nextQueryAt_ = now + queryInterval;
     const auto &instances = registry_.instances();
     if (instances.size() < 2)
         return;
     // The first entry is this instance.
     const auto &peer = instances[1 + random_() % (instances.size() - 1)];
     if (!peer.address.empty())
-        ask(peer.address);
+        query(peer.address);
 }
 
-void PeerConfiguration::ask(const std::string &address)
+void PeerConfiguration::query(const std::string &address)
 {
     UpstreamRequest request;
     request.address = address;
     request.wire = "GET /peer/configuration?after=" + std::to_string(context_.index->version())
         + " HTTP/1.1\r\nHost: " + address + "\r\n\r\n";
     request.isEchoRequired = false;
-    request.timeouts = {patience, patience, patience};
+    request.timeouts = {queryTimeout, queryTimeout, queryTimeout};
     const auto text = std::make_shared<std::string>();
     const auto status = std::make_shared<int>(0);
     UpstreamHooks hooks;
     hooks.onHead = [status](const HttpHead &head) { *status = head.status; };
     hooks.onBody = [text](std::string_view data) {
-        if (text->size() + data.size() <= mostBytes)
+        if (text->size() + data.size() <= maxConfigurationBytes)
             text->append(data);
     };
     hooks.onEnd = [this, text, status](const UpstreamEnd &end) {
--- a/modules/gateway/control/PeerConfiguration.h
+++ b/modules/gateway/control/PeerConfiguration.h
@@ -7,34 +7,35 @@
 namespace cuminrail {
 
 /**
-    Asks other instances for a newer configuration while the store does not answer this one.
+    Fetches a newer configuration from other instances while the store does not respond.
 
-    The store can turn a single instance away and serve the others. A key that is withdrawn then
-    would go on working here, for as long as that lasts. Any other instance that knows of a newer
-    version tells; versions only ever move forward, so one that is behind itself does no harm.
+    The store can refuse a single instance and serve the others. A key withdrawn meanwhile would
+    remain valid here for as long as that lasts. Any instance with a newer version returns it;
+    versions only ever increase, so a peer that is itself behind does no harm.
 */
 class PeerConfiguration
 {
 public:
-    /** The store has not confirmed the configuration for so long: a watch and its time-out. */
-    static constexpr Millis doubtAfter = Millis(1500);
-    static constexpr Millis askEvery = Millis(700);
+    /** Time without confirmation by the store: the length of a watch and its time-out. */
+    static constexpr Millis storeSilenceTimeout = Millis(1500);
+    static constexpr Millis queryInterval = Millis(700);
 
-    /** The hook gets the text of a newer configuration. */
+    /** @param onNewer  called with the text of a newer configuration */
     PeerConfiguration(RelayContext &context, const InstanceRegistry &registry, RandomHook random,
                       std::function<void(const std::string &text)> onNewer);
 
-    /** Does what is due. @c isStoreSilent while the store does not answer this instance. */
+    /** Queries a peer when due. @c isStoreSilent while the store does not respond to this instance.
+     */
     void tick(bool isStoreSilent);
 
 private:
-    void ask(const std::string &address);
+    void query(const std::string &address);
 
     RelayContext &context_;
     const InstanceRegistry &registry_;
     RandomHook random_;
     std::function<void(const std::string &)> onNewer_;
-    Millis nextAt_;
+    Millis nextQueryAt_;
 };
 
 } // namespace cuminrail
--- a/modules/gateway/control/ScaleDuty.cpp
+++ b/modules/gateway/control/ScaleDuty.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** Besides the boot: until the new upstream's entry has come through the store. */
-constexpr Millis listDelay = Millis(3000);
-/** None are to be had at the moment, or the call failed: asked again after this. */
-constexpr Millis retryAfter = Millis(1500);
-/** A new holder first sees the whole fleet and lets the former one's calls arrive. */
-constexpr Millis takeOverPause = Millis(1500);
+/** In addition to the boot time: until the new upstream's entry arrives through the store. */
+constexpr Millis listingDelay = Millis(3000);
+/** Delay before an order that was refused, or whose call failed, is sent again. */
+constexpr Millis orderRetryDelay = Millis(1500);
+/** A new holder first learns the whole fleet and lets the previous holder's calls arrive. */
+constexpr Millis takeoverDelay = Millis(1500);
 
 } // namespace
 
@@ -23,14 +23,14 @@
 {
     const Millis now = context_.now();
     if (!authority_() || context_.index == nullptr || context_.directory.isEmpty()) {
-        heldSince_ = Millis::never();
+        authorityGainedAt_ = Millis::never();
         return;
     }
-    if (heldSince_ == Millis::never()) {
-        heldSince_ = now;
+    if (authorityGainedAt_ == Millis::never()) {
+        authorityGainedAt_ = now;
         states_.clear();
     }
-    if (now - heldSince_ < takeOverPause)
+    if (now - authorityGainedAt_ < takeoverDelay)
         return;
     for (const Service &service : context_.index->configuration().services) {
         if (service.scale)
@@ -50,36 +50,38 @@
             ++(record->entry.isReclaimable ? fleet.reclaimable : fleet.regular);
     }
     for (const auto &[domain, fleet] : fleets) {
-        const Subject subject{service.name, domain};
-        State &state = states_.try_emplace(subject, FleetPlan(context_.settings.decisions.fleet))
-                           .first->second;
-        const auto denied = state.reclaimable.deniedSince;
-        const auto last = state.reclaimable.deniedLast;
-        const DomainSupply supply{isIdle, denied ? now - *denied : Millis(0),
-                                  last ? std::optional<Millis>(now - *last) : std::nullopt};
+        const FleetKey key{service.name, domain};
+        FleetState &state =
+            states_.try_emplace(key, FleetPlan(context_.settings.decisions.fleet)).first->second;
+        const auto firstDenied = state.reclaimable.firstDeniedAt;
+        const auto lastDenied = state.reclaimable.lastDeniedAt;
+        const DomainSupply supply{isIdle, firstDenied ? now - *firstDenied : Millis(0),
+                                  lastDenied ? std::optional<Millis>(now - *lastDenied)
+                                             : std::nullopt};
         const DomainTarget target = state.plan.decide(*service.scale, fleet, supply);
         ScaleTarget regular{service.name, domain, target.regular, false};
         ScaleTarget reclaimable{service.name, domain, target.reclaimable, true};
-        // Fewer regular ones make room for the others within the bounds; so they come first.
-        orderIfDue(subject, state.regular, regular, fleet.regular, service.scale->boot);
-        orderIfDue(subject, state.reclaimable, reclaimable, fleet.reclaimable, service.scale->boot);
+        // Fewer regular upstreams make room for reclaimable ones within the bounds, so these orders
+        // are sent first.
+        orderIfDue(key, state.regular, regular, fleet.regular, service.scale->boot);
+        orderIfDue(key, state.reclaimable, reclaimable, fleet.reclaimable, service.scale->boot);
     }
 }
 
-void ScaleDuty::orderIfDue(const Subject &subject, Line &line, const ScaleTarget &target,
+void ScaleDuty::orderIfDue(const FleetKey &key, OrderState &order, const ScaleTarget &target,
                            std::uint32_t present, Millis boot)
 {
     const Millis now = context_.now();
-    const bool isChange = line.ordered && *line.ordered != target.wanted;
-    const bool isUnfollowed = present != target.wanted && now >= line.nextAt;
-    if (line.isBusy || !(isChange || isUnfollowed))
+    const bool isChange = order.orderedCount && *order.orderedCount != target.wanted;
+    const bool isNotFollowed = present != target.wanted && now >= order.nextOrderAt;
+    if (order.isPending || !(isChange || isNotFollowed))
         return;
     const auto authority = authority_();
     if (!authority)
         return;
-    line.isBusy = true;
-    line.ordered = target.wanted;
-    line.nextAt = now + boot + listDelay;
+    order.isPending = true;
+    order.orderedCount = target.wanted;
+    order.nextOrderAt = now + boot + listingDelay;
     context_.events(Event{&events::fleetTargetDeclared,
                           {{"service", target.service},
                            {"failure_domain", target.failureDomain},
@@ -88,27 +90,27 @@
                            {"reclaimable", target.isReclaimable ? "true" : "false"}}});
     context_.wire.orderUpstreams(
         target, *authority,
-        [this, subject, isReclaimable = target.isReclaimable](DutyResult result,
-                                                              const Reason &reason) {
-            const auto found = states_.find(subject);
+        [this, key, isReclaimable = target.isReclaimable](DutyResult result, const Reason &reason) {
+            const auto found = states_.find(key);
             if (found == states_.end())
                 return;
-            Line &ordered = isReclaimable ? found->second.reclaimable : found->second.regular;
-            ordered.isBusy = false;
+            OrderState &answered =
+                isReclaimable ? found->second.reclaimable : found->second.regular;
+            answered.isPending = false;
             if (result == DutyResult::Accepted) {
-                ordered.deniedSince.reset();
+                answered.firstDeniedAt.reset();
                 return;
             }
             if (result == DutyResult::Refused) {
-                ordered.deniedLast = context_.now();
-                if (!ordered.deniedSince)
-                    ordered.deniedSince = ordered.deniedLast;
+                answered.lastDeniedAt = context_.now();
+                if (!answered.firstDeniedAt)
+                    answered.firstDeniedAt = answered.lastDeniedAt;
             }
-            ordered.ordered.reset();
-            ordered.nextAt = context_.now() + retryAfter;
+            answered.orderedCount.reset();
+            answered.nextOrderAt = context_.now() + orderRetryDelay;
             context_.events(Event{&events::fleetTargetInDoubt,
-                                  {{"service", subject.service},
-                                   {"failure_domain", subject.failureDomain},
+                                  {{"service", key.service},
+                                   {"failure_domain", key.failureDomain},
                                    {"result", std::string(dutyResultNames.name(result))},
                                    {"reason", reason.toString()}}});
         });
--- a/modules/gateway/control/ScaleDuty.h
+++ b/modules/gateway/control/ScaleDuty.h
@@ -8,11 +8,11 @@
 namespace cuminrail {
 
 /**
-    Orders upstreams by failure domain while this instance holds the duty.
+    Orders upstreams per failure domain while this instance holds the duty.
 
-    Each order states the whole number wanted, so one that is repeated, or whose result is unknown,
-    is simply given again; nothing is ever ordered as "one more". An order is given when the wanted
-    number changes, and again when the fleet has not followed it in time.
+    Each order states the absolute number wanted, so it is idempotent and can be sent again when its
+    result is unknown; nothing is ever ordered as "one more". An order is sent when the wanted
+   number changes, and again if the fleet has not followed it in time.
 */
 class ScaleDuty
 {
@@ -20,49 +20,50 @@
     ScaleDuty(RelayContext &context, std::function<std::optional<DutyAuthority>()> authority);
 
     /**
-        Does what is due; to be called every few hundred milliseconds. @c isIdle while the system
-        has only just been set up and nobody has asked anything.
+        Plans and orders when due; to be called every few hundred milliseconds. @c isIdle while the
+        system has just been set up and has received no request.
     */
     void tick(bool isIdle);
 
 private:
-    struct Subject
+    /** The upstreams of one service in one failure domain. */
+    struct FleetKey
     {
         std::string service;
         std::string failureDomain;
 
-        bool operator<(const Subject &other) const
+        bool operator<(const FleetKey &other) const
         {
             return std::tie(service, failureDomain) < std::tie(other.service, other.failureDomain);
         }
     };
-    /** One kind of upstream of a subject. */
-    struct Line
+    /** Orders for one kind of upstream: regular or reclaimable. */
+    struct OrderState
     {
-        std::optional<std::uint32_t> ordered;
-        Millis nextAt;
-        bool isBusy = false;
-        /** The platform had none to give, since then. */
-        std::optional<Millis> deniedSince;
-        std::optional<Millis> deniedLast;
+        std::optional<std::uint32_t> orderedCount;
+        Millis nextOrderAt;
+        bool isPending = false;
+        /** First and last refusal since the platform last accepted an order: it had no capacity. */
+        std::optional<Millis> firstDeniedAt;
+        std::optional<Millis> lastDeniedAt;
     };
-    struct State
+    struct FleetState
     {
-        explicit State(const FleetPlan &fleetPlan) : plan(fleetPlan) { }
+        explicit FleetState(const FleetPlan &fleetPlan) : plan(fleetPlan) { }
 
         FleetPlan plan;
-        Line regular;
-        Line reclaimable;
+        OrderState regular;
+        OrderState reclaimable;
     };
 
     void planService(const Service &service, bool isIdle);
-    void orderIfDue(const Subject &subject, Line &line, const ScaleTarget &target,
+    void orderIfDue(const FleetKey &key, OrderState &order, const ScaleTarget &target,
                     std::uint32_t present, Millis boot);
 
     RelayContext &context_;
     std::function<std::optional<DutyAuthority>()> authority_;
-    std::map<Subject, State> states_;
-    Millis heldSince_ = Millis::never();
+    std::map<FleetKey, FleetState> states_;
+    Millis authorityGainedAt_ = Millis::never();
 };
 
 } // namespace cuminrail
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -50,9 +50,9 @@
     FeedFollower::Hooks hooks = commonHooks(store, random, "configuration");
     hooks.onListed = [this](const std::vector<StoreObject> &objects) {
         for (const StoreObject &object : objects)
-            takeConfiguration(object);
+            applyConfigurationObject(object);
     };
-    hooks.onChanged = [this](const StoreObject &object) { takeConfiguration(object); };
+    hooks.onChanged = [this](const StoreObject &object) { applyConfigurationObject(object); };
     hooks.onCurrent = [this] { context_.configurationConfirmedAt = context_.now(); };
     return hooks;
 }
@@ -60,8 +60,8 @@
 FeedFollower::Hooks StoreSync::upstreamHooks(const ObjectStore &store, const RandomHook &random)
 {
     FeedFollower::Hooks hooks = commonHooks(store, random, "upstreams");
-    hooks.onListed = [this](const std::vector<StoreObject> &objects) { takeUpstreams(objects); };
-    hooks.onChanged = [this](const StoreObject &object) { takeUpstream(object); };
+    hooks.onListed = [this](const std::vector<StoreObject> &objects) { replaceUpstreams(objects); };
+    hooks.onChanged = [this](const StoreObject &object) { applyUpstream(object); };
     hooks.onCurrent = [this] {
         context_.upstreamsConfirmed = context_.now();
         context_.directory.expire(context_.now());
@@ -93,26 +93,26 @@
 
 void StoreSync::setInstances(std::size_t count)
 {
-    const Millis wanted = gatheringEach * static_cast<std::int64_t>(count);
-    const Millis gathering = std::clamp(wanted, gatheringLeast, gatheringMost);
-    configuration_.setGathering(gathering);
-    upstreams_.setGathering(gathering);
+    const Millis scaled = batchDelayPerInstance * static_cast<std::int64_t>(count);
+    const Millis batchDelay = std::clamp(scaled, minBatchDelay, maxBatchDelay);
+    configuration_.setGathering(batchDelay);
+    upstreams_.setGathering(batchDelay);
 }
 
-void StoreSync::storeInDoubt()
+void StoreSync::noteStoreFailure()
 {
     configuration_.storeInDoubt();
     upstreams_.storeInDoubt();
 }
 
-void StoreSync::takeConfiguration(const StoreObject &object)
+void StoreSync::applyConfigurationObject(const StoreObject &object)
 {
     if (object.path != context_.wire.configurationPath || object.removed)
         return;
-    takeConfigurationText(object.value, "store revision " + std::to_string(object.version));
+    applyConfigurationText(object.value, "store revision " + std::to_string(object.version));
 }
 
-void StoreSync::takeConfigurationText(const std::string &text, const std::string &source)
+void StoreSync::applyConfigurationText(const std::string &text, const std::string &source)
 {
     Reason reason;
     auto configuration = context_.wire.decodeConfiguration(text, &reason);
@@ -120,7 +120,7 @@
         context_.events(Event{&events::configurationRefused, {{"reason", reason.toString()}}});
         return;
     }
-    // A lagging or repeated read must never put an older version back.
+    // A lagging or repeated read must never bring back an older version.
     if (context_.index != nullptr && configuration->version <= context_.index->version())
         return;
     context_.index = std::make_shared<const RouteIndex>(std::move(*configuration));
@@ -137,7 +137,7 @@
     return object.path.substr(upstreams_.prefix().size());
 }
 
-void StoreSync::takeUpstreams(const std::vector<StoreObject> &objects)
+void StoreSync::replaceUpstreams(const std::vector<StoreObject> &objects)
 {
     std::vector<UpstreamEntry> entries;
     for (const StoreObject &object : objects) {
@@ -152,7 +152,7 @@
     hasUpstreams_ = true;
 }
 
-void StoreSync::takeUpstream(const StoreObject &object)
+void StoreSync::applyUpstream(const StoreObject &object)
 {
     const std::string id = upstreamId(object);
     if (object.removed) {
@@ -171,7 +171,7 @@
     }
     const UpstreamPointer known = context_.directory.find(id);
     if (known != nullptr && known->entry.startedAt < entry->startedAt) {
-        // Another life of the same upstream holds nothing and knows nothing of the former one.
+        // A new incarnation of the upstream has no cache and no state of the previous one.
         context_.health.forget(id);
         context_.engines.forget(id);
         if (context_.prefillExchange)
--- a/modules/gateway/control/StoreSync.h
+++ b/modules/gateway/control/StoreSync.h
@@ -7,43 +7,43 @@
 
 namespace cuminrail {
 
-/** Keeps the configuration in force and the upstreams known as the store has them. */
+/** Keeps this instance's configuration and list of upstreams in step with the store. */
 class StoreSync
 {
 public:
     /**
-        Changes that follow one another within this much are read together. Every change wakes
-        every instance's watch; so with more instances more is read together, up to a third of the
-        time that the platform allows for an upstream's leaving to be known.
+        Changes that follow one another within this delay are read together. Every change wakes the
+        watch of every instance, so the delay grows with the number of instances, up to a third of
+        the time that the platform allows until an upstream's leaving must be known.
     */
-    static constexpr Millis gatheringLeast = Millis(300);
-    static constexpr Millis gatheringEach = Millis(10);
-    static constexpr Millis gatheringMost = Millis(900);
+    static constexpr Millis minBatchDelay = Millis(300);
+    static constexpr Millis batchDelayPerInstance = Millis(10);
+    static constexpr Millis maxBatchDelay = Millis(900);
 
     StoreSync(RelayContext &context, const ObjectStore &store, const RandomHook &random);
     StoreSync(const StoreSync &) = delete;
     StoreSync &operator=(const StoreSync &) = delete;
 
     void start();
-    /** Takes no answers any more. */
+    /** Stops following; replies of the store that arrive later are ignored. */
     void stop();
-    /** Does what is due; to be called about ten times a second. */
+    /** Renews the watches when due; to be called about ten times a second. */
     void tick();
-    /** The upstreams were read at least once. */
+    /** Returns whether the upstreams were read at least once. */
     bool hasUpstreams() const { return hasUpstreams_; }
-    /** How many instances follow the store like this one. */
+    /** Sets the number of instances that follow the store. */
     void setInstances(std::size_t count);
-    /** A call to the store failed, or was not answered. */
-    void storeInDoubt();
+    /** To be called when another call to the store failed or timed out. */
+    void noteStoreFailure();
     FeedFollower &configuration() { return configuration_; }
     FeedFollower &upstreams() { return upstreams_; }
-    /** Takes in a configuration that another instance had, if it is newer. */
-    void takeConfigurationText(const std::string &text, const std::string &source);
+    /** Applies a configuration from another instance, if it is newer. */
+    void applyConfigurationText(const std::string &text, const std::string &source);
     /** The text of the configuration in force. */
     const std::string &configurationText() const { return configurationText_; }
-    /** Called when a newer configuration is in force here. */
+    /** Called after a newer configuration has come into force here. */
     std::function<void()> onConfiguration;
-    /** Called at an instance that watches for others. */
+    /** Called with each update, on an instance that watches the store for others. */
     std::function<void(const FeedUpdate &)> onLearned;
 
 private:
@@ -51,9 +51,9 @@
                                     const char *feed);
     FeedFollower::Hooks configurationHooks(const ObjectStore &store, const RandomHook &random);
     FeedFollower::Hooks upstreamHooks(const ObjectStore &store, const RandomHook &random);
-    void takeConfiguration(const StoreObject &object);
-    void takeUpstreams(const std::vector<StoreObject> &objects);
-    void takeUpstream(const StoreObject &object);
+    void applyConfigurationObject(const StoreObject &object);
+    void replaceUpstreams(const std::vector<StoreObject> &objects);
+    void applyUpstream(const StoreObject &object);
     std::string upstreamId(const StoreObject &object) const;
 
     RelayContext &context_;
--- a/modules/gateway/gateway.h
+++ b/modules/gateway/gateway.h
@@ -1,15 +1,15 @@
 #pragma once
 
 /**
-    An instance that serves declared routes: callers' requests go to upstreams that list themselves
-    in the platform's store, under a configuration that operators keep there.
+    An instance that serves declared routes: it forwards callers' requests to upstreams that
+    register in the platform's store, under a configuration that operators maintain there.
 
-    Sockets, timers and the order of steps are here; choices are made in dataplane. What messages
-    look like on the wire comes in through hooks. Instances tell each other over links what engines
-    have to read and what the store says.
+    This module contains the sockets, timers and sequence of steps; decisions are made in dataplane.
+    The wire format of messages is supplied by hooks. Over their links, instances exchange the
+    prefill load of engines and updates of the store.
 
-    Depends on core, membership (bounds of frames), dataplane, readingbooks, quotas, lease, ports,
-   net, runtime, peerlink.
+    Depends on core, membership (frame limits), dataplane, readingbooks, quotas, lease, ports, net,
+    runtime, peerlink.
 */
 
 #include "gateway/Gateway.h"
