--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -48,7 +48,7 @@
 {
     UsageTiming timing;
     timing.window = settings.usageWindow;
-    timing.sealAtLatest = settings.usageDue * 7 / 10;
+    timing.maxSealDelay = settings.usageDue * 7 / 10;
     return timing;
 }
 
@@ -77,8 +77,8 @@
       registry_(registrationOf(settings_), settings_.isFirstStart, environment_.store,
                 environment_.clock, environment_.random),
       lease_(incarnationOf(settings_, environment_.wallMillis()), registry_,
-             {withFailureHook(environment_.store, [this] { sync_.noteStoreFailure(); }), environment_.clock,
-              environment_.random, environment_.events, nullptr, nullptr}),
+             {withFailureHook(environment_.store, [this] { sync_.noteStoreFailure(); }),
+              environment_.clock, environment_.random, environment_.events, nullptr, nullptr}),
       peers_(context_, registry_, environment_.random,
              [this](const std::string &text) {
                  sync_.applyConfigurationText(text, "another instance");
--- a/modules/gateway/GatewayPeers.cpp
+++ b/modules/gateway/GatewayPeers.cpp
@@ -36,7 +36,7 @@
     }
     context_.quarantine->setPeers(peers);
     context_.prefillExchange->setPeers(std::move(peers));
-    fabric_.holdLinks(context_.prefillExchange->keepers());
+    fabric_.maintainLinks(context_.prefillExchange->keepers());
     updateGroup();
 }
 
@@ -82,7 +82,7 @@
 
 void Gateway::onPeerFrame(const PeerAddress &from, const std::string &frame)
 {
-    const bool isHandled = feeds_.received(from, frame) || usage_.received(from, frame)
+    const bool isHandled = feeds_.received(from, frame) || usage_.handleFrame(from, frame)
         || context_.quotas->received(from, frame) || context_.quarantine->received(from, frame)
         || context_.limits->received(from, frame);
     if (!isHandled)
--- a/modules/gateway/admin/GatewayAdmin.cpp
+++ b/modules/gateway/admin/GatewayAdmin.cpp
@@ -18,7 +18,7 @@
                                         HttpServerHooks{
                                             nullptr,
                                             [this](const std::shared_ptr<HttpExchange> &exchange) {
-                                                exchange->respond(answer(exchange->head()));
+                                                exchange->respond(handleRequest(exchange->head()));
                                             },
                                             [](int status, const Reason &reason) {
                                                 return textAnswer(status, reason.toString() + "\n");
@@ -32,7 +32,7 @@
     return server_.listen(host, port, false, lastReason);
 }
 
-HttpAnswer GatewayAdmin::answer(const HttpHead &head) const
+HttpAnswer GatewayAdmin::handleRequest(const HttpHead &head) const
 {
     const std::string_view path = head.path();
     if (head.method != "GET" && head.method != "HEAD")
--- a/modules/gateway/admin/GatewayAdmin.h
+++ b/modules/gateway/admin/GatewayAdmin.h
@@ -7,17 +7,17 @@
 
 namespace cuminrail {
 
-/** What operators and other instances can ask of an instance. */
+/** Content of the pages served to operators and to other instances. */
 struct AdminPages
 {
-    /** Prometheus' text format. */
+    /** Metrics in the Prometheus text format. */
     std::function<std::string()> metrics;
-    /** The whole state as JSON. Holds no caller key. */
+    /** The whole state as JSON, without caller keys. */
     std::function<std::string()> state;
     std::function<bool()> isReady;
     /**
-        The text of the configuration in force if it is newer than a version, else nothing.
-        It holds caller keys: only addresses of the system itself may reach this port.
+        The text of the configuration in force if it is newer than a version, otherwise empty.
+        It contains caller keys, so only addresses of the system itself may reach this port.
     */
     std::function<std::string(std::uint64_t version)> configurationAfter;
 };
@@ -33,7 +33,7 @@
     bool listen(const std::string &host, std::uint16_t port, Reason *lastReason);
 
 private:
-    HttpAnswer answer(const HttpHead &head) const;
+    HttpAnswer handleRequest(const HttpHead &head) const;
     HttpAnswer configuration(std::string_view target) const;
 
     AdminPages pages_;
--- a/modules/gateway/admin/GatewayMetrics.cpp
+++ b/modules/gateway/admin/GatewayMetrics.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** From a plain service's quick answer to the longest deadline of the present routes. */
+/** Range from a plain service's quick response to the longest deadline of the routes. */
 const prometheus::Histogram::BucketBoundaries &latencyBuckets()
 {
     static const prometheus::Histogram::BucketBoundaries buckets{
@@ -26,23 +26,24 @@
                     .Name("cuminrail_requests_total")
                     .Help("Requests by route kind and outcome")
                     .Register(registry_)),
-      gaveUp_(prometheus::BuildCounter()
-                  .Name("cuminrail_given_up_total")
-                  .Help("Requests without an upstream's answer, by cause and outcome")
-                  .Register(registry_)),
-      answerSeconds_(prometheus::BuildHistogram()
-                         .Name("cuminrail_request_seconds")
-                         .Help("From a request's arrival to the end of its answer")
-                         .Register(registry_)),
-      firstSeconds_(prometheus::BuildHistogram()
-                        .Name("cuminrail_first_answer_seconds")
-                        .Help("From a request's arrival to its first event or its plain answer")
-                        .Register(registry_)),
-      readSeconds_(prometheus::BuildHistogram()
-                       .Name("cuminrail_prompt_read_seconds")
-                       .Help("From sending a prompt until it was read")
-                       .Register(registry_)
-                       .Add({}, latencyBuckets())),
+      givenUp_(prometheus::BuildCounter()
+                   .Name("cuminrail_given_up_total")
+                   .Help("Requests without an upstream's answer, by cause and outcome")
+                   .Register(registry_)),
+      requestSeconds_(prometheus::BuildHistogram()
+                          .Name("cuminrail_request_seconds")
+                          .Help("From a request's arrival to the end of its answer")
+                          .Register(registry_)),
+      firstResponseSeconds_(
+          prometheus::BuildHistogram()
+              .Name("cuminrail_first_answer_seconds")
+              .Help("From a request's arrival to its first event or its plain answer")
+              .Register(registry_)),
+      prefillSeconds_(prometheus::BuildHistogram()
+                          .Name("cuminrail_prompt_read_seconds")
+                          .Help("From sending a prompt until it was read")
+                          .Register(registry_)
+                          .Add({}, latencyBuckets())),
       pauseSeconds_(prometheus::BuildHistogram()
                         .Name("cuminrail_stream_pause_seconds")
                         .Help("Between two events of one stream")
@@ -65,28 +66,28 @@
         .Add(
             {{"kind", kindName(kind)}, {"outcome", std::string(requestOutcomeNames.name(outcome))}})
         .Increment();
-    answerSeconds_.Add({{"kind", kindName(kind)}}, latencyBuckets()).Observe(seconds);
+    requestSeconds_.Add({{"kind", kindName(kind)}}, latencyBuckets()).Observe(seconds);
 }
 
-void GatewayMetrics::gaveUp(GiveUpCause cause, RequestOutcome outcome)
+void GatewayMetrics::requestGivenUp(GiveUpCause cause, RequestOutcome outcome)
 {
-    gaveUp_
+    givenUp_
         .Add({{"cause", std::string(giveUpCauseNames.name(cause))},
               {"outcome", std::string(requestOutcomeNames.name(outcome))}})
         .Increment();
 }
 
-void GatewayMetrics::firstAnswer(RouteKind kind, double seconds)
+void GatewayMetrics::firstResponse(RouteKind kind, double seconds)
 {
-    firstSeconds_.Add({{"kind", kindName(kind)}}, latencyBuckets()).Observe(seconds);
+    firstResponseSeconds_.Add({{"kind", kindName(kind)}}, latencyBuckets()).Observe(seconds);
 }
 
-void GatewayMetrics::promptRead(double seconds)
+void GatewayMetrics::prefillDone(double seconds)
 {
-    readSeconds_.Observe(seconds);
+    prefillSeconds_.Observe(seconds);
 }
 
-void GatewayMetrics::paused(double seconds)
+void GatewayMetrics::streamPaused(double seconds)
 {
     pauseSeconds_.Observe(seconds);
 }
@@ -103,7 +104,7 @@
         .Observe(seconds);
 }
 
-void GatewayMetrics::set(const std::string &name, const std::string &help, double value)
+void GatewayMetrics::setGauge(const std::string &name, const std::string &help, double value)
 {
     prometheus::BuildGauge().Name(name).Help(help).Register(registry_).Add({}).Set(value);
 }
@@ -111,7 +112,7 @@
 void GatewayMetrics::setQuotas(const QuotaExchangeStats &quotas)
 {
     const auto count = [this](const char *name, const char *help, std::uint64_t value) {
-        set(std::string("cuminrail_quota_") + name, help, static_cast<double>(value));
+        setGauge(std::string("cuminrail_quota_") + name, help, static_cast<double>(value));
     };
     count("granted", "Requests granted within their customers' quotas", quotas.granted);
     count("refused", "Requests of customers over their quotas", quotas.refused);
@@ -124,66 +125,68 @@
 void GatewayMetrics::setQuarantine(const GatewayGauges &gauges)
 {
     const QuarantineStats &stats = gauges.quarantine;
-    set("cuminrail_quarantine_suspects", "Requests that are suspected or quarantined now",
-        static_cast<double>(gauges.suspects));
-    set("cuminrail_quarantine_ends", "Upstreams that ended, once for each request that they had",
-        static_cast<double>(stats.ends));
-    set("cuminrail_quarantine_quarantined", "Requests that came to be quarantined",
-        static_cast<double>(stats.quarantined));
-    set("cuminrail_quarantine_cleared", "Suspected requests that ran to their end here",
-        static_cast<double>(stats.cleared));
+    setGauge("cuminrail_quarantine_suspects", "Requests that are suspected or quarantined now",
+             static_cast<double>(gauges.suspects));
+    setGauge("cuminrail_quarantine_ends",
+             "Upstreams that ended, once for each request that they had",
+             static_cast<double>(stats.ends));
+    setGauge("cuminrail_quarantine_quarantined", "Requests that came to be quarantined",
+             static_cast<double>(stats.quarantined));
+    setGauge("cuminrail_quarantine_cleared", "Suspected requests that ran to their end here",
+             static_cast<double>(stats.cleared));
 }
 
 void GatewayMetrics::setLimits(const GatewayGauges &gauges)
 {
     const LimitStats &stats = gauges.limits;
-    set("cuminrail_upstream_limits", "Upstreams that name a limit now",
-        static_cast<double>(gauges.limitedUpstreams));
-    set("cuminrail_upstream_limit_used", "Requests sent to upstreams that name a limit",
-        static_cast<double>(stats.used));
-    set("cuminrail_upstream_limit_unasked", "Of these, sent as the limit became known",
-        static_cast<double>(stats.unasked));
-    set("cuminrail_upstream_limit_given_back", "Credits that no request used in time",
-        static_cast<double>(stats.givenBack));
-    set("cuminrail_upstream_limit_refused", "Credits refused, as the limit was used up",
-        static_cast<double>(stats.refused));
+    setGauge("cuminrail_upstream_limits", "Upstreams that name a limit now",
+             static_cast<double>(gauges.limitedUpstreams));
+    setGauge("cuminrail_upstream_limit_used", "Requests sent to upstreams that name a limit",
+             static_cast<double>(stats.used));
+    setGauge("cuminrail_upstream_limit_unasked", "Of these, sent as the limit became known",
+             static_cast<double>(stats.unasked));
+    setGauge("cuminrail_upstream_limit_given_back", "Credits that no request used in time",
+             static_cast<double>(stats.givenBack));
+    setGauge("cuminrail_upstream_limit_refused", "Credits refused, as the limit was used up",
+             static_cast<double>(stats.refused));
 }
 
 std::string GatewayMetrics::page(const GatewayGauges &gauges)
 {
     const RelayCounters &counters = gauges.counters;
-    set("cuminrail_ready", "1 while the instance takes new connections", gauges.isReady ? 1 : 0);
-    set("cuminrail_configuration_version", "Version of the configuration in force",
-        static_cast<double>(gauges.configurationVersion));
-    set("cuminrail_configuration_age_seconds", "Since the store confirmed the configuration",
-        gauges.configurationAgeSeconds);
-    set("cuminrail_upstreams_age_seconds", "Since the store confirmed the list of upstreams",
-        gauges.upstreamsAgeSeconds);
-    set("cuminrail_upstreams", "Upstreams in the list", static_cast<double>(gauges.upstreams));
-    set("cuminrail_caller_connections", "Open connections of callers",
-        static_cast<double>(gauges.callerConnections));
-    set("cuminrail_upstream_connections", "Open connections to upstreams",
-        static_cast<double>(gauges.upstreamConnections));
-    set("cuminrail_instances", "Instances registered", static_cast<double>(gauges.instances));
-    set("cuminrail_duty_holder", "1 while this instance holds the fleet's duties",
-        gauges.isDutyHolder ? 1 : 0);
-    set("cuminrail_log_lines_dropped", "Log lines left out since the start",
-        static_cast<double>(gauges.logLinesDropped));
-    set("cuminrail_requests_in_progress", "Requests not answered yet", counters.inProgress);
-    set("cuminrail_sends", "Sends to upstreams since the start",
-        static_cast<double>(counters.sends));
-    set("cuminrail_repeats", "Sends beyond a request's first",
-        static_cast<double>(counters.retries));
-    set("cuminrail_resumes", "Streams that went on at another upstream",
-        static_cast<double>(counters.resumes));
-    set("cuminrail_held", "Prompts that waited at the instance until engines had room",
-        static_cast<double>(counters.deferred));
-    set("cuminrail_hand_overs", "Prompts read by a prefill engine first",
-        static_cast<double>(counters.handOvers));
-    set("cuminrail_hand_overs_failed", "Of these, given up",
-        static_cast<double>(counters.handOversFailed));
-    set("cuminrail_timeouts", "Requests whose time ran out",
-        static_cast<double>(counters.timeouts));
+    setGauge("cuminrail_ready", "1 while the instance takes new connections",
+             gauges.isReady ? 1 : 0);
+    setGauge("cuminrail_configuration_version", "Version of the configuration in force",
+             static_cast<double>(gauges.configurationVersion));
+    setGauge("cuminrail_configuration_age_seconds", "Since the store confirmed the configuration",
+             gauges.configurationAgeSeconds);
+    setGauge("cuminrail_upstreams_age_seconds", "Since the store confirmed the list of upstreams",
+             gauges.upstreamsAgeSeconds);
+    setGauge("cuminrail_upstreams", "Upstreams in the list", static_cast<double>(gauges.upstreams));
+    setGauge("cuminrail_caller_connections", "Open connections of callers",
+             static_cast<double>(gauges.callerConnections));
+    setGauge("cuminrail_upstream_connections", "Open connections to upstreams",
+             static_cast<double>(gauges.upstreamConnections));
+    setGauge("cuminrail_instances", "Instances registered", static_cast<double>(gauges.instances));
+    setGauge("cuminrail_duty_holder", "1 while this instance holds the fleet's duties",
+             gauges.isDutyHolder ? 1 : 0);
+    setGauge("cuminrail_log_lines_dropped", "Log lines left out since the start",
+             static_cast<double>(gauges.logLinesDropped));
+    setGauge("cuminrail_requests_in_progress", "Requests not answered yet", counters.inProgress);
+    setGauge("cuminrail_sends", "Sends to upstreams since the start",
+             static_cast<double>(counters.sends));
+    setGauge("cuminrail_repeats", "Sends beyond a request's first",
+             static_cast<double>(counters.retries));
+    setGauge("cuminrail_resumes", "Streams that went on at another upstream",
+             static_cast<double>(counters.resumes));
+    setGauge("cuminrail_held", "Prompts that waited at the instance until engines had room",
+             static_cast<double>(counters.deferred));
+    setGauge("cuminrail_hand_overs", "Prompts read by a prefill engine first",
+             static_cast<double>(counters.handOvers));
+    setGauge("cuminrail_hand_overs_failed", "Of these, given up",
+             static_cast<double>(counters.handOversFailed));
+    setGauge("cuminrail_timeouts", "Requests whose time ran out",
+             static_cast<double>(counters.timeouts));
     setQuotas(gauges.quotas);
     setQuarantine(gauges);
     setLimits(gauges);
--- a/modules/gateway/admin/GatewayMetrics.h
+++ b/modules/gateway/admin/GatewayMetrics.h
@@ -16,10 +16,10 @@
 
 namespace cuminrail {
 
-/** How a request ended, for its caller. */
+/** How a request ended from its caller's view. */
 enum class RequestOutcome : std::uint8_t {
     Served,
-    /** An upstream answered with a failure of its own. */
+    /** An upstream responded with an error of its own. */
     UpstreamError,
     Refused,
     Failed,
@@ -34,29 +34,29 @@
     {RequestOutcome::CallerLeft, "caller-left"},
 }}};
 
-/** Why a request got no upstream's answer; the log line's reason says more. */
+/** Why a request got no response of an upstream; the log line's reason has the details. */
 enum class GiveUpCause : std::uint8_t {
     NoConfiguration,
     Malformed,
     NoRoute,
     UnknownKey,
     NoUpstream,
-    /** Upstreams stated that they have no room. */
+    /** Upstreams stated that they are full. */
     Full,
     Unreachable,
-    /** An upstream took it and broke, fell silent or sent what is no answer. */
+    /** An upstream received the request and broke off, fell silent or sent an invalid response. */
     Broken,
-    RepeatLimit,
-    TimeOver,
-    /** Its caller will have left before any engine can begin with it. */
+    RetryLimit,
+    DeadlineExceeded,
+    /** The caller would time out before any engine could start the request. */
     Overload,
-    /** Its customer is over its quota. */
+    /** The customer's quota is used up. */
     OverQuota,
-    /** Nobody could tell how much its customer has used. */
+    /** No owner of the customer's quota replied, so its use is not known. */
     QuotaUnknown,
-    /** Upstreams ended under requests that ask the same. */
+    /** Upstream processes ended while running requests with the same content. */
     Quarantined,
-    /** Upstreams in need take no more requests at the moment. */
+    /** Upstreams that state a limit accept no more requests at the moment. */
     UpstreamLimit,
 };
 
@@ -69,8 +69,8 @@
     {GiveUpCause::Full, "full"},
     {GiveUpCause::Unreachable, "unreachable"},
     {GiveUpCause::Broken, "broken"},
-    {GiveUpCause::RepeatLimit, "repeat-limit"},
-    {GiveUpCause::TimeOver, "time-over"},
+    {GiveUpCause::RetryLimit, "repeat-limit"},
+    {GiveUpCause::DeadlineExceeded, "time-over"},
     {GiveUpCause::Overload, "overload"},
     {GiveUpCause::OverQuota, "over-quota"},
     {GiveUpCause::QuotaUnknown, "quota-unknown"},
@@ -78,7 +78,7 @@
     {GiveUpCause::UpstreamLimit, "upstream-limit"},
 }}};
 
-/** Values that only exist while somebody looks. */
+/** Current values, computed when the metrics or the state are requested. */
 struct GatewayGauges
 {
     bool isReady = false;
@@ -102,26 +102,26 @@
 /**
     Counters and latency histograms in Prometheus' text format.
 
-    Labels are route kinds and outcomes only: routes and customers come and go without bound.
+    Labels are route kinds and outcomes only: the number of routes and customers is not bounded.
 */
 class GatewayMetrics
 {
 public:
     GatewayMetrics();
 
-    /** A request is over; seconds from its arrival. */
+    /** A request ended, this long after its arrival. */
     void requestEnded(RouteKind kind, RequestOutcome outcome, double seconds);
-    /** No upstream's answer went out; @c outcome says Refused or Failed. */
-    void gaveUp(GiveUpCause cause, RequestOutcome outcome);
-    /** A stream's first event, or a plain answer, was ready for the caller. */
-    void firstAnswer(RouteKind kind, double seconds);
-    /** A prompt was read, by a prefill engine or where it runs. */
-    void promptRead(double seconds);
-    /** Between two events of one stream, as they were passed on. */
-    void paused(double seconds);
-    /** From a request's arrival until it was first sent to an upstream. */
+    /** A request got no response of an upstream; @c outcome is Refused or Failed. */
+    void requestGivenUp(GiveUpCause cause, RequestOutcome outcome);
+    /** A stream's first event, or a plain response, was ready for the caller. */
+    void firstResponse(RouteKind kind, double seconds);
+    /** A prefill ended, on a prefill engine or on the engine that decodes. */
+    void prefillDone(double seconds);
+    /** Time between two relayed events of a stream. */
+    void streamPaused(double seconds);
+    /** Time from a request's arrival until it was first sent to an upstream. */
     void firstSent(double seconds);
-    /** One call of the platform's store or duties is over. */
+    /** A call to the platform's store or duties ended. */
     void platformCall(const char *what, bool wasAnswered, double seconds);
 
     std::string page(const GatewayGauges &gauges);
@@ -130,14 +130,14 @@
     void setQuotas(const QuotaExchangeStats &quotas);
     void setQuarantine(const GatewayGauges &gauges);
     void setLimits(const GatewayGauges &gauges);
-    void set(const std::string &name, const std::string &help, double value);
+    void setGauge(const std::string &name, const std::string &help, double value);
 
     prometheus::Registry registry_;
     prometheus::Family<prometheus::Counter> &requests_;
-    prometheus::Family<prometheus::Counter> &gaveUp_;
-    prometheus::Family<prometheus::Histogram> &answerSeconds_;
-    prometheus::Family<prometheus::Histogram> &firstSeconds_;
-    prometheus::Histogram &readSeconds_;
+    prometheus::Family<prometheus::Counter> &givenUp_;
+    prometheus::Family<prometheus::Histogram> &requestSeconds_;
+    prometheus::Family<prometheus::Histogram> &firstResponseSeconds_;
+    prometheus::Histogram &prefillSeconds_;
     prometheus::Histogram &pauseSeconds_;
     prometheus::Histogram &sentSeconds_;
     prometheus::Family<prometheus::Histogram> &platformSeconds_;
--- a/modules/gateway/control/PeerConfiguration.h
+++ b/modules/gateway/control/PeerConfiguration.h
@@ -24,8 +24,7 @@
     PeerConfiguration(RelayContext &context, const InstanceRegistry &registry, RandomHook random,
                       std::function<void(const std::string &text)> onNewer);
 
-    /** Queries a peer when due. @c isStoreSilent while the store does not respond to this instance.
-     */
+    /** Queries a peer when due; @c isStoreSilent while the store does not respond here. */
     void tick(bool isStoreSilent);
 
 private:
--- a/modules/gateway/control/ScaleDuty.h
+++ b/modules/gateway/control/ScaleDuty.h
@@ -12,7 +12,7 @@
 
     Each order states the absolute number wanted, so it is idempotent and can be sent again when its
     result is unknown; nothing is ever ordered as "one more". An order is sent when the wanted
-   number changes, and again if the fleet has not followed it in time.
+    number changes, and again if the fleet has not followed it in time.
 */
 class ScaleDuty
 {
--- a/modules/gateway/control/StageDuty.h
+++ b/modules/gateway/control/StageDuty.h
@@ -11,10 +11,10 @@
 /**
     Orders engines to change their stage while this instance holds the duty.
 
-    An order without a response may still be executed seconds later. Each order therefore states the
-    number of orders that the engine has accepted so far: of all orders with the same number, late
-   or sent twice, the engine executes at most one. The number is read from the engine just before,
-    under the same lease, and an engine has at most one order pending.
+    An order without a response may still be executed seconds later. Each order therefore states
+    the number of orders that the engine has accepted so far: of all orders with the same number,
+    late or sent twice, the engine executes at most one. The number is read from the engine just
+    before, under the same lease, and an engine has at most one order pending.
 */
 class StageDuty
 {
--- a/modules/gateway/peers/LedgerMessage.cpp
+++ b/modules/gateway/peers/LedgerMessage.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/** These differ from the first element of every other message between gateways. */
+/** Message tags; distinct from the first element of all other messages between gateways. */
 constexpr std::uint64_t ledgerTag = 0x21;
 constexpr std::uint64_t receiptTag = 0x22;
-constexpr std::size_t mostOwnerBytes = 128;
-/** How frames with these tags begin: an array of four or three, a number of one byte. */
+constexpr std::size_t maxOwnerBytes = 128;
+/** CBOR prefixes of frames with these tags: an array of four or three, a one-byte number. */
 constexpr const char *ledgerStart = "\x84\x18\x21";
 constexpr const char *receiptStart = "\x83\x18\x22";
 constexpr std::size_t startBytes = 3;
 
-/** Most frames are about engines' queues; they are not decoded twice. */
-bool begins(const std::string &frame, const char *start)
+/** Checks the prefix first: most frames are prefill messages, which must not be decoded twice. */
+bool startsWith(const std::string &frame, const char *start)
 {
     return frame.compare(0, startBytes, start) == 0;
 }
@@ -27,7 +27,7 @@
 
 std::string encodeLedgerMessage(const LedgerMessage &message)
 {
-    // Customers' names may hold any characters, so the ledger goes as bytes.
+    // Customer names may contain any characters, so the ledger is encoded as bytes.
     const std::vector<std::uint8_t> bytes(message.ledger.begin(), message.ledger.end());
     return encodeCbor(nlohmann::json::array(
         {ledgerTag, message.owner, message.version, nlohmann::json::binary(bytes)}));
@@ -35,13 +35,13 @@
 
 std::optional<LedgerMessage> decodeLedgerMessage(const std::string &frame)
 {
-    const auto value = begins(frame, ledgerStart) ? decodeCbor(frame) : std::nullopt;
+    const auto value = startsWith(frame, ledgerStart) ? decodeCbor(frame) : std::nullopt;
     if (!value)
         return std::nullopt;
     CborArray elements(*value);
     elements.number(ledgerTag);
     LedgerMessage message;
-    message.owner = elements.name(mostOwnerBytes);
+    message.owner = elements.name(maxOwnerBytes);
     message.version = elements.number();
     message.ledger = elements.bytes(FrameLimits::bytes);
     return elements.isWhole() ? std::optional<LedgerMessage>(std::move(message)) : std::nullopt;
@@ -54,13 +54,13 @@
 
 std::optional<LedgerReceipt> decodeLedgerReceipt(const std::string &frame)
 {
-    const auto value = begins(frame, receiptStart) ? decodeCbor(frame) : std::nullopt;
+    const auto value = startsWith(frame, receiptStart) ? decodeCbor(frame) : std::nullopt;
     if (!value)
         return std::nullopt;
     CborArray elements(*value);
     elements.number(receiptTag);
     LedgerReceipt receipt;
-    receipt.owner = elements.name(mostOwnerBytes);
+    receipt.owner = elements.name(maxOwnerBytes);
     receipt.version = elements.number();
     return elements.isWhole() ? std::optional<LedgerReceipt>(std::move(receipt)) : std::nullopt;
 }
--- a/modules/gateway/peers/LedgerMessage.h
+++ b/modules/gateway/peers/LedgerMessage.h
@@ -6,18 +6,18 @@
 
 namespace cuminrail {
 
-/** A usage ledger that an instance gives to another one, which writes many of them together. */
+/** A usage ledger sent to a collector, which writes the ledgers of many instances together. */
 struct LedgerMessage
 {
-    /** The owning instance in its present life. */
+    /** The owning instance in its current incarnation, "NAME.INCARNATION". */
     std::string owner;
-    /** Which state of the ledger this is; rises with each one that is sent. */
+    /** Version of the ledger; incremented each time it is sent. */
     std::uint64_t version = 0;
-    /** As encodeLedger() gives it. */
+    /** The ledger as encoded by encodeLedger(). */
     std::string ledger;
 };
 
-/** Tells the owner that the store holds this state of its ledger. */
+/** Acknowledges to the owner that the store has this version of its ledger. */
 struct LedgerReceipt
 {
     std::string owner;
@@ -25,11 +25,11 @@
 };
 
 std::string encodeLedgerMessage(const LedgerMessage &message);
-/** Returns nothing for any other frame. */
+/** Returns nothing if the frame is no valid ledger message. */
 std::optional<LedgerMessage> decodeLedgerMessage(const std::string &frame);
 
 std::string encodeLedgerReceipt(const LedgerReceipt &receipt);
-/** Returns nothing for any other frame. */
+/** Returns nothing if the frame is no valid receipt. */
 std::optional<LedgerReceipt> decodeLedgerReceipt(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/gateway/peers/LedgerMessage_test.cpp
+++ b/modules/gateway/peers/LedgerMessage_test.cpp
@@ -6,7 +6,8 @@
 
 using namespace cuminrail;
 
-TEST_CASE("a ledger comes back as it was sent, and is told from messages about books")
+// Frames of all kinds arrive on the same link, so each decoder must refuse those of the others.
+TEST_CASE("a ledger message round-trips and is not mistaken for another kind of message")
 {
     const LedgerMessage message{"instance-1.1700000000000", 9,
                                 R"({"complete_through":7,"windows":{"7":{"Bücher AG":3}}})"};
@@ -21,7 +22,8 @@
     CHECK_FALSE(decodeLedgerMessage(encodeBookMessage(BookEnd{8, 99, true})));
 }
 
-TEST_CASE("a receipt comes back as it was sent, and damaged ones are refused")
+// A truncated receipt taken as valid would mark a ledger as stored that is not.
+TEST_CASE("a receipt round-trips, and truncated receipts are rejected")
 {
     const std::string frame = encodeLedgerReceipt({"instance-1.17", 9});
     const auto back = decodeLedgerReceipt(frame);
@@ -34,16 +36,17 @@
         CHECK_FALSE(decodeLedgerReceipt(frame.substr(0, length)));
 }
 
-TEST_CASE("what is no ledger message is refused")
+// Frames may come malformed from another version; a wrong field must not reach the ledgers.
+TEST_CASE("malformed ledger messages are rejected")
 {
     using nlohmann::json;
     const json bytes = json::binary({'{', '}'});
     const std::pair<const char *, json> rows[] = {
         {"no ledger", json::array({0x21, "i-1.1", 1, 5})},
-        {"a text for bytes", json::array({0x21, "i-1.1", 1, "{}"})},
+        {"a string instead of bytes", json::array({0x21, "i-1.1", 1, "{}"})},
         {"no owner", json::array({0x21, "", 1, bytes})},
         {"a space in the owner", json::array({0x21, "i 1", 1, bytes})},
-        {"a text for the version", json::array({0x21, "i-1.1", "1", bytes})},
+        {"a string as the version", json::array({0x21, "i-1.1", "1", bytes})},
         {"too short", json::array({0x21, "i-1.1", 1})},
         {"another tag", json::array({0x23, "i-1.1", 1, bytes})},
     };
--- a/modules/gateway/peers/PeerFabric.cpp
+++ b/modules/gateway/peers/PeerFabric.cpp
@@ -12,18 +12,18 @@
 
 constexpr const char *secretPath = "secrets/links";
 constexpr std::size_t secretBytes = 32;
-/** The store is asked again so soon while it gives no secret. */
-constexpr Millis askAgainAfter = Millis(500);
+/** Interval at which the secret is read while the store does not return it. */
+constexpr Millis secretRetryInterval = Millis(500);
 
 /**
-    Links that are looked for in one tick, and how long until the same one is looked for again. All
-    of a hundred are up within four seconds, and an instance that is gone costs little.
+    Connection attempts per tick, and the interval of attempts to the same peer. A hundred links are
+    established within four seconds, and an instance that is gone costs few attempts.
 */
-constexpr int connectionsEachTick = 3;
-constexpr Millis lookAgainAfter = Millis::seconds(4);
-constexpr Millis connectionsSpread = Millis(1500);
+constexpr int maxConnectsPerTick = 3;
+constexpr Millis reconnectInterval = Millis::seconds(4);
+constexpr Millis connectJitter = Millis(1500);
 
-/** A machine that is cut off is passed over long before; this only bounds what waits for it. */
+/** An unreachable machine is skipped long before these limits; they bound what is queued for it. */
 PeerLinksConfig linksConfig()
 {
     PeerLinksConfig config;
@@ -35,7 +35,7 @@
     return config;
 }
 
-std::string asHex(const std::string &bytes)
+std::string toHex(const std::string &bytes)
 {
     constexpr const char *digits = "0123456789abcdef";
     std::string text;
@@ -57,44 +57,45 @@
 {
     const Millis now = environment_.clock.now();
     if (isOpen())
-        connectSome(now);
-    if (isOpen() || isAsking_ || isStopped_ || now < nextAt_)
+        connectDuePeers(now);
+    if (isOpen() || isSecretRequested_ || isStopped_ || now < nextSecretReadAt_)
         return;
-    isAsking_ = true;
-    nextAt_ = now + askAgainAfter;
-    environment_.store.get(secretPath, [this](const StoreReply &reply) { secretRead(reply); });
+    isSecretRequested_ = true;
+    nextSecretReadAt_ = now + secretRetryInterval;
+    environment_.store.get(secretPath, [this](const StoreReply &reply) { onSecretRead(reply); });
 }
 
-void PeerFabric::holdLinks(std::vector<PeerAddress> peers)
+void PeerFabric::maintainLinks(std::vector<PeerAddress> peers)
 {
     const Millis now = environment_.clock.now();
-    std::map<PeerAddress, Millis> held;
+    std::map<PeerAddress, Millis> connectAt;
     for (PeerAddress &peer : peers) {
-        const auto known = held_.find(peer);
-        // Instances that start together must not all connect to the same peer first.
+        const auto known = nextConnectAt_.find(peer);
+        // Instances that start together must not all connect to the same peer at the same time.
         const auto hash = StableHash().add(listen_.toString()).add(peer).value();
-        const auto spread = static_cast<std::int64_t>(hash % connectionsSpread.count());
-        held[std::move(peer)] = known == held_.end() ? now + Millis(spread) : known->second;
+        const auto jitter = static_cast<std::int64_t>(hash % connectJitter.count());
+        connectAt[std::move(peer)] =
+            known == nextConnectAt_.end() ? now + Millis(jitter) : known->second;
     }
-    held_ = std::move(held);
+    nextConnectAt_ = std::move(connectAt);
 }
 
-void PeerFabric::connectSome(Millis now)
+void PeerFabric::connectDuePeers(Millis now)
 {
-    int left = connectionsEachTick;
-    for (auto &[peer, nextAt] : held_) {
+    int remaining = maxConnectsPerTick;
+    for (auto &[peer, nextAt] : nextConnectAt_) {
         if (now < nextAt)
             continue;
-        if (left-- == 0)
+        if (remaining-- == 0)
             return;
-        nextAt = now + lookAgainAfter;
+        nextAt = now + reconnectInterval;
         links_->connect(peer);
     }
 }
 
-void PeerFabric::secretRead(const StoreReply &reply)
+void PeerFabric::onSecretRead(const StoreReply &reply)
 {
-    isAsking_ = false;
+    isSecretRequested_ = false;
     if (isOpen() || isStopped_)
         return;
     if (reply.status == StoreStatus::NotFound)
@@ -105,12 +106,12 @@
 
 void PeerFabric::createSecret()
 {
-    isAsking_ = true;
-    const std::string drawn = asHex(detail::randomBytes(secretBytes));
-    environment_.store.put(StorePut{secretPath, drawn, 0}, [this](const StoreReply &) {
-        // Whatever became of it: what counts is what the store holds now.
-        isAsking_ = false;
-        nextAt_ = environment_.clock.now();
+    isSecretRequested_ = true;
+    const std::string generated = toHex(detail::randomBytes(secretBytes));
+    environment_.store.put(StorePut{secretPath, generated, 0}, [this](const StoreReply &) {
+        // Whatever the result of the creation, the stored secret is read next.
+        isSecretRequested_ = false;
+        nextSecretReadAt_ = environment_.clock.now();
     });
 }
 
--- a/modules/gateway/peers/PeerFabric.h
+++ b/modules/gateway/peers/PeerFabric.h
@@ -21,10 +21,11 @@
 /**
     The links of a gateway to the other instances.
 
-    Links are authenticated by a secret that all instances share. The platform gives none, so the
-    first instance that finds none in the store draws one and creates it there; only one creation
-    can succeed, and all read back what is there. Until then nothing is listened on and what is sent
-    is dropped: callers of the transport must do without answers anyway.
+    Links are authenticated with a secret shared by all instances. The platform provides none, so
+    the first instance that finds no secret in the store generates one and creates it there; only
+    one creation can succeed, and every instance reads back the stored secret. Until then the
+    instance does not listen and frames sent are dropped: users of the transport must tolerate lost
+    replies anyway.
 */
 class PeerFabric
 {
@@ -39,37 +40,37 @@
         EventSink events;
     };
 
-    /** @param listen  where this instance takes links, and how others reach it */
+    /** @param listen  address on which this instance accepts links, also advertised to others */
     PeerFabric(Environment environment, HostPort listen, FrameHandler onFrame);
 
-    /** Does what is due until the links are open; to be called every few hundred milliseconds. */
+    /** Reads the secret and connects to peers when due; to be called a few times a second. */
     void tick();
     bool isOpen() const { return links_ != nullptr; }
     /**
-        Holds links to these instances ready. A question is answered within milliseconds or not at
-        all; without a link most of the first questions after a start would not be.
+        Keeps links to these instances established. Queries time out within milliseconds, so without
+        an open link most of the first queries after a start would go unanswered.
     */
-    void holdLinks(std::vector<PeerAddress> peers);
-    /** Whether a link to the instance is ready, whoever set it up. */
+    void maintainLinks(std::vector<PeerAddress> peers);
+    /** Returns whether a link to the instance is established, by either side. */
     bool isLinked(const PeerAddress &peer) const { return links_ && links_->isLinked(peer); }
-    /** Valid as long as this object. */
+    /** Returns a transport that is valid as long as this object. */
     PeerTransport transport();
     void stop();
 
 private:
-    void secretRead(const StoreReply &reply);
+    void onSecretRead(const StoreReply &reply);
     void createSecret();
     void open(const std::string &secret);
-    void connectSome(Millis now);
+    void connectDuePeers(Millis now);
 
     Environment environment_;
     HostPort listen_;
     FrameHandler onFrame_;
     std::unique_ptr<PeerLinks> links_;
-    /** When a link to each of the held peers is looked for next. */
-    std::map<PeerAddress, Millis> held_;
-    Millis nextAt_;
-    bool isAsking_ = false;
+    /** When to connect next, for each peer to which a link is maintained. */
+    std::map<PeerAddress, Millis> nextConnectAt_;
+    Millis nextSecretReadAt_;
+    bool isSecretRequested_ = false;
     bool isStopped_ = false;
 };
 
--- a/modules/gateway/request/RelayAnswer.cpp
+++ b/modules/gateway/request/RelayAnswer.cpp
@@ -91,7 +91,7 @@
     } else {
         const Millis pause = now - stream_.lastAt;
         stream_.longestPause = std::max(stream_.longestPause, pause);
-        context_.metrics.paused(pause.toSeconds());
+        context_.metrics.streamPaused(pause.toSeconds());
     }
     stream_.lastAt = now;
 }
@@ -106,7 +106,7 @@
     if (!attempt_.choice || attempt_.isPrefillDone)
         return;
     attempt_.isPrefillDone = true;
-    context_.metrics.promptRead((context_.now() - attempt_.sentAt).toSeconds());
+    context_.metrics.prefillDone((context_.now() - attempt_.sentAt).toSeconds());
     context_.engines.promptRead(*attempt_.choice, attempt_.sentAt, context_.now());
 }
 
@@ -151,7 +151,7 @@
                           const std::string &why)
 {
     ++context_.counters.refused;
-    context_.metrics.gaveUp(cause, RequestOutcome::Refused);
+    context_.metrics.requestGivenUp(cause, RequestOutcome::Refused);
     logEnd(events::requestRefused, status, cause, why);
     exchange_->respond(context_.wire.ownAnswer(status, inbound_.id, retryAfter, why));
     endRequest(RequestOutcome::Refused);
@@ -163,7 +163,7 @@
     if (!hasResponseStarted_ && !mayHaveRun_)
         return refuse(503, cause, callerRetryAfter(), why);
     ++context_.counters.failed;
-    context_.metrics.gaveUp(cause, RequestOutcome::Failed);
+    context_.metrics.requestGivenUp(cause, RequestOutcome::Failed);
     if (hasResponseStarted_) {
         logEnd(events::requestFailed, 0, cause, "stream truncated: " + why);
         exchange_->abort();
@@ -178,7 +178,7 @@
 void RequestRelay::noteFirstResponse()
 {
     const Millis took = context_.now() - arrivedAt_;
-    context_.metrics.firstAnswer(route_->kind, took.toSeconds());
+    context_.metrics.firstResponse(route_->kind, took.toSeconds());
 }
 
 void RequestRelay::endRequest(RequestOutcome outcome)
--- a/modules/gateway/request/RequestRelay.cpp
+++ b/modules/gateway/request/RequestRelay.cpp
@@ -122,7 +122,7 @@
     const bool isRetry = sends_ + refusals_ > 0;
     const Millis minTime = isRetry && route_->hasPrompts ? minUsefulRetryTime : minUsefulTime;
     if (deadlineAt_ - context_.now() < minTime)
-        return giveUp(GiveUpCause::TimeOver, "no time is left");
+        return giveUp(GiveUpCause::DeadlineExceeded, "no time is left");
     if (connectFailures_ >= maxConnectFailures)
         return giveUp(GiveUpCause::Unreachable, "upstreams cannot be reached");
     if (refusals_ > maxRefusals)
@@ -168,7 +168,7 @@
         return false;
     }
     if (!context_.retries.takeRepeat(service_, context_.now())) {
-        lastCause_ = GiveUpCause::RepeatLimit;
+        lastCause_ = GiveUpCause::RetryLimit;
         lastProblem_ += ", and the limit on repeats is reached";
         return false;
     }
@@ -189,7 +189,7 @@
     }
     releaseCacheHandle();
     closeAttempt();
-    giveUp(GiveUpCause::TimeOver, "the time for it is over");
+    giveUp(GiveUpCause::DeadlineExceeded, "the time for it is over");
 }
 
 void RequestRelay::onSilence()
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -215,8 +215,7 @@
     bool wasDeferred_ = false;
     bool isDeferred_ = false;
     bool hasQueriedEstimates_ = false;
-    /** Prefill estimates for this prompt by engine; filled only while an engine is chosen by them.
-     */
+    /** Prefill estimates for this prompt by engine; set only while they are used to choose. */
     std::unordered_map<std::string, ReadingOffer> prefillEstimates_;
     /** This prompt's entry in the prefill tracker of its engine. */
     BookExchange::Entry trackedPrefill_;
--- a/modules/gateway/usage/GatewayUsage.cpp
+++ b/modules/gateway/usage/GatewayUsage.cpp
@@ -14,7 +14,7 @@
 {
     const auto acknowledge = [this](const PeerAddress &to, const LedgerReceipt &receipt) {
         if (to.empty())
-            sender_.received(receipt);
+            sender_.handleReceipt(receipt);
         else
             hooks_.send(to, encodeLedgerReceipt(receipt));
     };
@@ -23,16 +23,17 @@
 
 LedgerSender::Hooks GatewayUsage::senderHooks()
 {
-    const auto give = [this](const PeerAddress &to, const LedgerMessage &message) {
+    const auto sendLedger = [this](const PeerAddress &to, const LedgerMessage &message) {
         if (to.empty())
-            return collector_.take(to, message);
+            return collector_.handleLedger(to, message);
         std::string frame = encodeLedgerMessage(message);
-        // Not sent, it is written by its owner in the end.
+        // A ledger too large for a frame gets no receipt, so its owner writes it directly in the
+        // end.
         if (frame.size() <= FrameLimits::bytes)
             hooks_.send(to, std::move(frame));
     };
     const UsageDuty::Hooks &duty = hooks_.duty;
-    return {duty.store, duty.clock, hooks_.random, duty.events, hooks_.collectors, give};
+    return {duty.store, duty.clock, hooks_.random, duty.events, hooks_.collectors, sendLedger};
 }
 
 void GatewayUsage::count(const std::string &customer)
@@ -42,19 +43,19 @@
 
 void GatewayUsage::tick()
 {
-    sender_.tick(duty_.windowAt(hooks_.duty.wallMillis() - timing_.lastFlush.count()));
+    sender_.tick(duty_.windowAt(hooks_.duty.wallMillis() - timing_.finalFlushDelay.count()));
     collector_.tick();
     duty_.tick();
 }
 
-bool GatewayUsage::received(const PeerAddress &from, const std::string &frame)
+bool GatewayUsage::handleFrame(const PeerAddress &from, const std::string &frame)
 {
     if (const auto message = decodeLedgerMessage(frame)) {
-        collector_.take(from, *message);
+        collector_.handleLedger(from, *message);
         return true;
     }
     if (const auto receipt = decodeLedgerReceipt(frame)) {
-        sender_.received(*receipt);
+        sender_.handleReceipt(*receipt);
         return true;
     }
     return false;
--- a/modules/gateway/usage/GatewayUsage.h
+++ b/modules/gateway/usage/GatewayUsage.h
@@ -6,7 +6,7 @@
 
 namespace cuminrail {
 
-/** One instance's whole part in usage: counting, collecting for others, and reporting for all. */
+/** An instance's part in usage: counting its own, collecting for others, reporting for all. */
 class GatewayUsage
 {
 public:
@@ -14,25 +14,25 @@
     {
         UsageDuty::Hooks duty;
         RandomHook random;
-        /** Links of instances that take ledgers; this one's is empty. */
+        /** Link addresses of the collectors; empty for this instance. */
         std::function<std::vector<PeerAddress>()> collectors;
         std::function<void(const PeerAddress &, std::string frame)> send;
     };
 
-    /** @param owner  this instance in this life, "NAME.LIFE" */
+    /** @param owner  this instance in its current incarnation, "NAME.INCARNATION" */
     GatewayUsage(const std::string &owner, const UsageTiming &timing, Hooks hooks);
 
     void count(const std::string &customer);
     void setInstances(std::size_t count) { sender_.setInstances(count); }
-    /** Whether ledgers are given to collectors, or written by their owners while that works. */
-    void setShared(bool isShared) { sender_.setWritesFirst(!isShared); }
-    /** Does what is due; to be called about ten times a second. */
+    /** Sets whether ledgers go to collectors first, or are first written by their owners. */
+    void setShared(bool isShared) { sender_.setDirectFirst(!isShared); }
+    /** Sends, collects and reports when due; to be called about ten times a second. */
     void tick();
-    /** Begins to send what has not been sent; for the end of the process. */
+    /** Starts sending counts that are not in the store yet; for the process's shutdown. */
     void flush() { sender_.flush(); }
     bool isFlushed() const { return sender_.isFlushed(); }
-    /** A frame came from another instance. Returns false if it is about something else. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    /** Handles a frame from another instance; returns false if it is of another kind. */
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
 
 private:
     LedgerSender::Hooks senderHooks();
--- a/modules/gateway/usage/LedgerCollector.cpp
+++ b/modules/gateway/usage/LedgerCollector.cpp
@@ -11,7 +11,7 @@
     : path_("usage/" + name + collectedSuffix), hooks_(std::move(hooks))
 { }
 
-void LedgerCollector::take(const PeerAddress &from, const LedgerMessage &message)
+void LedgerCollector::handleLedger(const PeerAddress &from, const LedgerMessage &message)
 {
     Reason reason;
     const bool isNamed = !message.owner.empty() && message.owner.find('/') == std::string::npos;
@@ -21,45 +21,44 @@
                             {{"path", message.owner}, {"reason", reason.toString()}}});
         return;
     }
-    if (givers_.empty())
-        writeAt_ = hooks_.clock.now() + gathering;
+    if (pendingReceipts_.empty())
+        writeAt_ = hooks_.clock.now() + batchDelay;
     mergeLedger(ledgers_[message.owner], *ledger);
-    givers_.push_back({from, {message.owner, message.version}});
+    pendingReceipts_.push_back({from, {message.owner, message.version}});
 }
 
 void LedgerCollector::tick()
 {
-    if (!givers_.empty() && hooks_.clock.now() >= writeAt_)
+    if (!pendingReceipts_.empty() && hooks_.clock.now() >= writeAt_)
         write();
 }
 
 void LedgerCollector::write()
 {
-    forgetOldWindows();
+    evictOldWindows();
     hooks_.store.put(StorePut{path_, encodeLedgers(ledgers_), std::nullopt},
-                     [this, givers = std::exchange(givers_, {})](const StoreReply &reply) {
-                         written(givers, reply);
-                     });
+                     [this, receipts = std::exchange(pendingReceipts_, {})](
+                         const StoreReply &reply) { written(receipts, reply); });
 }
 
-void LedgerCollector::written(const std::vector<Giver> &givers, const StoreReply &reply)
+void LedgerCollector::written(const std::vector<PendingReceipt> &receipts, const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
-        hooks_.events(Event{
-            &events::usageLedgersNotWritten,
-            {{"ledgers", std::to_string(givers.size())}, {"reason", reply.lastReason.toString()}}});
+        hooks_.events(Event{&events::usageLedgersNotWritten,
+                            {{"ledgers", std::to_string(receipts.size())},
+                             {"reason", reply.lastReason.toString()}}});
         return;
     }
-    for (const Giver &giver : givers)
-        hooks_.acknowledge(giver.address, giver.receipt);
+    for (const PendingReceipt &pending : receipts)
+        hooks_.acknowledge(pending.address, pending.receipt);
 }
 
-void LedgerCollector::forgetOldWindows()
+void LedgerCollector::evictOldWindows()
 {
     std::int64_t newest = 0;
     for (const auto &[owner, ledger] : ledgers_)
         newest = std::max(newest, ledger.completeThrough);
-    const std::int64_t oldest = newest - keptWindows;
+    const std::int64_t oldest = newest - retainedWindows;
     for (auto entry = ledgers_.begin(); entry != ledgers_.end();) {
         auto &windows = entry->second.windows;
         windows.erase(windows.begin(), windows.lower_bound(oldest));
--- a/modules/gateway/usage/LedgerCollector.h
+++ b/modules/gateway/usage/LedgerCollector.h
@@ -15,19 +15,19 @@
 namespace cuminrail {
 
 /**
-    Takes ledgers that other instances give, and writes them to the store as one object.
+    Collects the ledgers of other instances and writes them to the store as one object.
 
-    An owner is acknowledged only when the store has its ledger. A write that fails is not made
-    again: the owners notice, and turn to a collector that the store may still serve. The object
-    keeps the latest windows of each owner, so that it can be written whole each time.
+    An owner gets a receipt only once the store has its ledger. A failed write is not retried: the
+    owners time out and turn to another collector, which the store may still serve. The object
+    contains the latest windows of each owner, as it is replaced as a whole by each write.
 */
 class LedgerCollector
 {
 public:
-    /** What comes within this after the first ledger is written together. */
-    static constexpr Millis gathering = Millis(400);
-    /** Older windows are never reported. */
-    static constexpr std::int64_t keptWindows = 6;
+    /** Ledgers that arrive within this time after the first one are written together. */
+    static constexpr Millis batchDelay = Millis(400);
+    /** Number of windows kept for each owner; older windows are never reported. */
+    static constexpr std::int64_t retainedWindows = 6;
 
     struct Hooks
     {
@@ -37,32 +37,32 @@
         std::function<void(const PeerAddress &, const LedgerReceipt &)> acknowledge;
     };
 
-    /** @param name  names the object that this instance writes */
+    /** @param name  name of the object that this instance writes */
     LedgerCollector(const std::string &name, Hooks hooks);
     LedgerCollector(const LedgerCollector &) = delete;
     LedgerCollector &operator=(const LedgerCollector &) = delete;
 
-    /** A ledger came from the instance with this address. */
-    void take(const PeerAddress &from, const LedgerMessage &message);
-    /** Writes when it is due; to be called about ten times a second. */
+    /** Handles a ledger received from the instance with this address. */
+    void handleLedger(const PeerAddress &from, const LedgerMessage &message);
+    /** Writes the collected ledgers when due; to be called about ten times a second. */
     void tick();
 
 private:
-    struct Giver
+    struct PendingReceipt
     {
         PeerAddress address;
         LedgerReceipt receipt;
     };
 
     void write();
-    void written(const std::vector<Giver> &givers, const StoreReply &reply);
-    void forgetOldWindows();
+    void written(const std::vector<PendingReceipt> &receipts, const StoreReply &reply);
+    void evictOldWindows();
 
     std::string path_;
     Hooks hooks_;
     Ledgers ledgers_;
-    /** To be acknowledged after the next write. */
-    std::vector<Giver> givers_;
+    /** Receipts to send after the next successful write. */
+    std::vector<PendingReceipt> pendingReceipts_;
     Millis writeAt_;
 };
 
--- a/modules/gateway/usage/LedgerSender.cpp
+++ b/modules/gateway/usage/LedgerSender.cpp
@@ -9,28 +9,29 @@
 
 LedgerSender::LedgerSender(std::string owner, const UsageTiming &timing, Hooks hooks)
     : owner_(std::move(owner)), timing_(timing), hooks_(std::move(hooks)),
-      flushEvery_(timing.flushLeast)
+      flushInterval_(timing.minFlushInterval)
 { }
 
 void LedgerSender::setInstances(std::size_t count)
 {
-    const Millis wanted = timing_.flushEach * static_cast<std::int64_t>(count);
-    flushEvery_ =
-        std::clamp(wanted, timing_.flushLeast, std::max(timing_.flushLeast, timing_.window));
+    const Millis scaled = timing_.flushIntervalPerInstance * static_cast<std::int64_t>(count);
+    flushInterval_ = std::clamp(scaled, timing_.minFlushInterval,
+                                std::max(timing_.minFlushInterval, timing_.window));
 }
 
 void LedgerSender::tick(std::int64_t closedWindow)
 {
     const Millis now = hooks_.clock.now();
-    if (delivery_ && delivery_->until && now >= *delivery_->until)
-        tryNext();
+    if (delivery_ && delivery_->timeoutAt && now >= *delivery_->timeoutAt)
+        tryNextRoute();
     const bool isClosing = closedWindow != closedWindow_;
-    // One that waits as long as a window sends at its end only; twice would say nothing new.
-    const bool isDue = now >= nextFlush_ && (flushEvery_ < timing_.window || hasFailed_);
+    // With an interval as long as a window, the ledger is sent only when a window closes; sending
+    // it twice a window would add nothing.
+    const bool isDue = now >= nextFlushAt_ && (flushInterval_ < timing_.window || hasFailed_);
     if (!isClosing && !isDue)
         return;
     if (isClosing && closedWindow_ != 0) {
-        writtenChanges_ = 0; // what is complete is news, even without new counts
+        writtenChanges_ = 0; // that the window is complete must be sent even without new counts
         delivery_.reset();
     }
     closedWindow_ = closedWindow;
@@ -42,45 +43,46 @@
     const std::uint64_t changes = ledger_.changes();
     if (delivery_ || changes == 0 || changes == writtenChanges_)
         return;
-    nextFlush_ = hooks_.clock.now() + flushEvery_;
+    nextFlushAt_ = hooks_.clock.now() + flushInterval_;
     Delivery delivery;
-    delivery.version = ++versions_;
+    delivery.version = ++lastVersion_;
     delivery.changes = changes;
     delivery.ledger = encodeLedger({closedWindow_ - 1, ledger_.windows()});
     delivery.collectors = hooks_.collectors();
     delivery_ = std::move(delivery);
-    tryNext();
+    tryNextRoute();
 }
 
-void LedgerSender::tryNext()
+void LedgerSender::tryNextRoute()
 {
     Delivery &delivery = *delivery_;
-    const std::size_t place = delivery.tried++;
-    if (place > delivery.collectors.size())
+    const std::size_t route = delivery.routesTried++;
+    if (route > delivery.collectors.size())
         return giveUp();
-    const std::size_t ownPlace = writesFirst_ ? 0 : delivery.collectors.size();
-    if (place == ownPlace)
-        return writeSelf();
-    const PeerAddress &collector = delivery.collectors[place - (place > ownPlace ? 1 : 0)];
-    delivery.until = hooks_.clock.now() + receiptTimeout;
-    hooks_.give(collector, {owner_, delivery.version, delivery.ledger});
+    const std::size_t directRoute = isDirectFirst_ ? 0 : delivery.collectors.size();
+    if (route == directRoute)
+        return writeDirectly();
+    const PeerAddress &collector = delivery.collectors[route - (route > directRoute ? 1 : 0)];
+    delivery.timeoutAt = hooks_.clock.now() + receiptTimeout;
+    hooks_.sendLedger(collector, {owner_, delivery.version, delivery.ledger});
 }
 
 void LedgerSender::giveUp()
 {
-    const auto half = static_cast<std::uint64_t>(pause.count()) / 2;
-    const auto spread = static_cast<std::int64_t>(hooks_.random() % (half + 1));
-    hooks_.events(Event{&events::storeUnavailable,
-                        {{"feed", "usage ledger"},
-                         {"reason", "neither a collector nor this instance could write it"}}});
+    const auto half = static_cast<std::uint64_t>(retryDelay.count()) / 2;
+    const auto jitter = static_cast<std::int64_t>(hooks_.random() % (half + 1));
+    hooks_.events(
+        Event{&events::storeUnavailable,
+              {{"feed", "usage ledger"},
+               {"reason", "no collector acknowledged it, and this instance could not write it"}}});
     hasFailed_ = true;
-    nextFlush_ = hooks_.clock.now() + pause / 2 + Millis(spread);
+    nextFlushAt_ = hooks_.clock.now() + retryDelay / 2 + Millis(jitter);
     delivery_.reset();
 }
 
-void LedgerSender::writeSelf()
+void LedgerSender::writeDirectly()
 {
-    delivery_->until.reset();
+    delivery_->timeoutAt.reset();
     const std::uint64_t version = delivery_->version;
     hooks_.store.put(StorePut{"usage/" + owner_, delivery_->ledger, std::nullopt},
                      [this, version](const StoreReply &reply) {
@@ -88,11 +90,11 @@
                              return;
                          if (reply.status == StoreStatus::Ok)
                              return delivered();
-                         tryNext();
+                         tryNextRoute();
                      });
 }
 
-void LedgerSender::received(const LedgerReceipt &receipt)
+void LedgerSender::handleReceipt(const LedgerReceipt &receipt)
 {
     if (delivery_ && receipt.owner == owner_ && receipt.version == delivery_->version)
         delivered();
--- a/modules/gateway/usage/LedgerSender.h
+++ b/modules/gateway/usage/LedgerSender.h
@@ -17,22 +17,22 @@
 namespace cuminrail {
 
 /**
-    Counts this instance's usage and brings it to the store.
+    Counts this instance's usage and delivers it to the store.
 
-    Load: hundreds of instances that each have counts of a window to write, some of which the store
-    turns away. Where there are many, each gives its ledger to a collector of its failure domain,
-    which writes all of them as one object and acknowledges each; without that every window costs a
-    call an instance, and an outage several. An instance that hears nothing tries the next
-    collector, and at last writes for itself. Always the whole ledger is sent, so one that arrives
-    twice, or on two ways, counts once.
+    Load: hundreds of instances that each have a window's counts to write, some of which the store
+    refuses. In a large failure domain each instance sends its ledger to a collector, which writes
+    all of them as one object and acknowledges each. Without collectors every window would cost one
+    store call per instance, and several during an outage. An instance that gets no receipt tries
+    the next collector and finally writes its ledger directly. The whole ledger is sent each time,
+    so one that arrives twice, or over two routes, counts once.
 */
 class LedgerSender
 {
 public:
-    /** How long an acknowledgement is waited for: a collector's gathering and a slow write. */
+    /** Time-out of a receipt: a collector's batch delay and a slow write. */
     static constexpr Millis receiptTimeout = Millis(900);
-    /** After all ways failed, spread by half over the instances. */
-    static constexpr Millis pause = Millis(3000);
+    /** Delay after all routes failed; half of it is random to spread the instances. */
+    static constexpr Millis retryDelay = Millis(3000);
 
     struct Hooks
     {
@@ -40,11 +40,10 @@
         Clock clock;
         RandomHook random;
         EventSink events;
-        /** Instances that take ledgers, in the order in which they are to be tried; may be empty.
-         */
+        /** Returns the collectors in the order in which to try them; may be empty. */
         std::function<std::vector<PeerAddress>()> collectors;
-        /** Sends a ledger to one of them. */
-        std::function<void(const PeerAddress &, const LedgerMessage &)> give;
+        /** Sends a ledger to a collector. */
+        std::function<void(const PeerAddress &, const LedgerMessage &)> sendLedger;
     };
 
     LedgerSender(std::string owner, const UsageTiming &timing, Hooks hooks);
@@ -56,51 +55,51 @@
         ledger_.count(window, customer);
     }
     void setInstances(std::size_t count);
-    /** Where there are few instances each writes for itself, and asks others only if that fails. */
-    void setWritesFirst(bool writesFirst) { writesFirst_ = writesFirst; }
+    /** With few instances, each writes its own ledger and uses collectors only if that fails. */
+    void setDirectFirst(bool isDirectFirst) { isDirectFirst_ = isDirectFirst; }
     /**
-        Sends what is due; to be called about ten times a second.
+        Sends the ledger when due; to be called about ten times a second.
 
-        @param closedWindow  the first window that is not over yet
+        @param closedWindow  the first window that has not ended yet
     */
     void tick(std::int64_t closedWindow);
-    /** Begins to send what has not been sent. */
+    /** Starts sending counts that are not in the store yet. */
     void flush();
-    /** A collector acknowledges a state of the ledger. */
-    void received(const LedgerReceipt &receipt);
+    /** Handles a collector's receipt for a version of the ledger. */
+    void handleReceipt(const LedgerReceipt &receipt);
     bool isFlushed() const { return writtenChanges_ == ledger_.changes() && !delivery_; }
 
 private:
-    /** One state of the ledger on its way to the store. */
+    /** A version of the ledger that is being delivered to the store. */
     struct Delivery
     {
         std::uint64_t version = 0;
         std::uint64_t changes = 0;
         std::string ledger;
         std::vector<PeerAddress> collectors;
-        /** Ways tried so far, the own write among them. */
-        std::size_t tried = 0;
-        /** When the next way is tried; not set while the own write is under way. */
-        std::optional<Millis> until;
+        /** Number of routes tried so far, including the direct write. */
+        std::size_t routesTried = 0;
+        /** When the next route is tried; not set while the direct write is in progress. */
+        std::optional<Millis> timeoutAt;
     };
 
-    void tryNext();
+    void tryNextRoute();
     void giveUp();
-    void writeSelf();
+    void writeDirectly();
     void delivered();
 
     std::string owner_;
     UsageTiming timing_;
     Hooks hooks_;
     UsageLedger ledger_;
-    bool writesFirst_ = true;
+    bool isDirectFirst_ = true;
     std::optional<Delivery> delivery_;
-    std::uint64_t versions_ = 0;
+    std::uint64_t lastVersion_ = 0;
     std::uint64_t writtenChanges_ = 0;
-    /** All ways failed the last time. */
+    /** All routes failed for the last delivery. */
     bool hasFailed_ = false;
-    Millis flushEvery_;
-    Millis nextFlush_;
+    Millis flushInterval_;
+    Millis nextFlushAt_;
     std::int64_t closedWindow_ = 0;
 };
 
--- a/modules/gateway/usage/UsageDuty.cpp
+++ b/modules/gateway/usage/UsageDuty.cpp
@@ -11,7 +11,7 @@
 constexpr const char *ledgersPrefix = "usage/";
 constexpr const char *sealsPrefix = "seals/";
 
-/** Returns the ledgers that an object holds. */
+/** Decodes the ledgers of a store object, one or many. */
 std::optional<Ledgers> ledgersOf(const StoreObject &object, Reason *lastReason)
 {
     const std::string name = object.path.substr(std::string(ledgersPrefix).size());
@@ -23,14 +23,14 @@
     return Ledgers{{name, std::move(*ledger)}};
 }
 
-/** An instance and one of its lives, as they make up an owner's name "NAME.LIFE". */
-struct OwnerLife
+/** The parts of an owner's name "NAME.INCARNATION". */
+struct OwnerIncarnation
 {
     std::string instance;
-    std::string life;
+    std::string incarnation;
 };
 
-OwnerLife lifeOf(const std::string &owner)
+OwnerIncarnation parseOwner(const std::string &owner)
 {
     const auto dot = owner.rfind('.');
     if (dot == std::string::npos)
@@ -38,21 +38,22 @@
     return {owner.substr(0, dot), owner.substr(dot + 1)};
 }
 
-/** Lives are numbers that rise; as texts, a longer one is the higher. */
-bool isLater(const std::string &life, const std::string &other)
+/** Incarnations are increasing numbers in text form, so a longer text is the later one. */
+bool isLaterIncarnation(const std::string &incarnation, const std::string &other)
 {
-    return life.size() != other.size() ? life.size() > other.size() : life > other;
+    return incarnation.size() != other.size() ? incarnation.size() > other.size()
+                                              : incarnation > other;
 }
 
-/** Returns the last life of each instance that has a ledger. */
-std::map<std::string, std::string> lastLives(const Ledgers &ledgers)
+/** Returns the latest incarnation of each instance that has a ledger. */
+std::map<std::string, std::string> latestIncarnations(const Ledgers &ledgers)
 {
     std::map<std::string, std::string> last;
     for (const auto &[owner, ledger] : ledgers) {
-        const OwnerLife own = lifeOf(owner);
+        const OwnerIncarnation own = parseOwner(owner);
         std::string &known = last[own.instance];
-        if (isLater(own.life, known))
-            known = own.life;
+        if (isLaterIncarnation(own.incarnation, known))
+            known = own.incarnation;
     }
     return last;
 }
@@ -80,18 +81,18 @@
 
 void UsageDuty::reportIfDue(std::int64_t wall)
 {
-    if (!hooks_.authority() || hooks_.clock.now() < nextReport_)
+    if (!hooks_.authority() || hooks_.clock.now() < nextReportAt_)
         return;
-    const std::int64_t newest = windowAt(wall - timing_.sealAfter.count()) - 1;
-    for (std::int64_t window = newest - timing_.lookBack; window <= newest; ++window) {
-        Stage &stage = windows_[window];
-        if (stage != Stage::Open)
+    const std::int64_t newest = windowAt(wall - timing_.sealDelay.count()) - 1;
+    for (std::int64_t window = newest - timing_.lookBackWindows; window <= newest; ++window) {
+        WindowState &state = windows_[window];
+        if (state != WindowState::Open)
             continue;
-        stage = Stage::Busy;
+        state = WindowState::Busy;
         collect(window);
         return;
     }
-    while (!windows_.empty() && windows_.begin()->first < newest - 2 * timing_.lookBack)
+    while (!windows_.empty() && windows_.begin()->first < newest - 2 * timing_.lookBackWindows)
         windows_.erase(windows_.begin());
 }
 
@@ -101,62 +102,65 @@
         if (reply.status == StoreStatus::Ok)
             return reportSealed(window, reply.objects.front().value);
         if (reply.status != StoreStatus::NotFound)
-            return failed(window, reply.lastReason);
-        hooks_.store.list(ledgersPrefix,
-                          [this, window](const StoreReply &list) { collected(window, list); });
+            return postpone(window, reply.lastReason);
+        hooks_.store.list(ledgersPrefix, [this, window](const StoreReply &list) {
+            onLedgersListed(window, list);
+        });
     });
 }
 
-void UsageDuty::collected(std::int64_t window, const StoreReply &reply)
+void UsageDuty::onLedgersListed(std::int64_t window, const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok)
-        return failed(window, reply.lastReason);
+        return postpone(window, reply.lastReason);
     Ledgers ledgers;
     for (const StoreObject &object : reply.objects) {
         Reason reason;
-        const auto held = ledgersOf(object, &reason);
-        if (!held) {
+        const auto decoded = ledgersOf(object, &reason);
+        if (!decoded) {
             hooks_.events(Event{&events::usageLedgerUnreadable,
                                 {{"path", object.path}, {"reason", reason.toString()}}});
             continue;
         }
-        for (const auto &[owner, ledger] : *held)
+        for (const auto &[owner, ledger] : *decoded)
             mergeLedger(ledgers[owner], ledger);
     }
     CustomerCounts sum;
     bool isComplete = true;
-    const auto last = lastLives(ledgers);
+    const auto latest = latestIncarnations(ledgers);
     for (const auto &[owner, ledger] : ledgers) {
-        // A life that another one has followed writes no more.
-        const OwnerLife own = lifeOf(owner);
-        const bool isOver = last.at(own.instance) != own.life;
-        isComplete = isComplete && (isOver || !isIncomplete(ledger, window));
+        // An incarnation that has been replaced by a later one writes no more.
+        const OwnerIncarnation own = parseOwner(owner);
+        const bool isReplaced = latest.at(own.instance) != own.incarnation;
+        isComplete = isComplete && (isReplaced || !isAwaited(ledger, window));
         const auto found = ledger.windows.find(window);
         if (found != ledger.windows.end())
             UsageLedger::add(sum, found->second);
     }
     const std::int64_t age = hooks_.wallMillis() - (window + 1) * timing_.window.count();
-    if (!isComplete && age < timing_.sealAtLatest.count())
-        return failed(window, {"ledgers", "an instance has not completed the window yet"});
+    if (!isComplete && age < timing_.maxSealDelay.count())
+        return postpone(
+            window, {"ledgers", "an instance has not written its final counts of the window yet"});
     if (sum.empty() && window < firstWindow_) {
-        // Nobody counted anything, and this instance cannot know whether anything ran.
-        windows_[window] = Stage::Reported;
+        // No counts for a window before this instance started: it cannot know whether requests ran,
+        // so nothing is reported.
+        windows_[window] = WindowState::Reported;
         return;
     }
-    removeOld(reply.objects, window);
+    removeExpired(reply.objects, window);
     seal(window, sum);
 }
 
-bool UsageDuty::isIncomplete(const LedgerRecord &ledger, std::int64_t window) const
+bool UsageDuty::isAwaited(const LedgerRecord &ledger, std::int64_t window) const
 {
-    // One that has not written for two windows has ended, and will write no more.
+    // An owner that has not written for two windows has ended and will write no more.
     constexpr std::int64_t recent = 2;
     return ledger.completeThrough < window && ledger.completeThrough >= window - recent;
 }
 
-void UsageDuty::removeOld(const std::vector<StoreObject> &objects, std::int64_t window)
+void UsageDuty::removeExpired(const std::vector<StoreObject> &objects, std::int64_t window)
 {
-    // Ledgers of instances that ended stay behind; one a window is few enough to go unnoticed.
+    // Ledgers of ended instances remain in the store. Removing one per window adds hardly any load.
     const std::int64_t oldest = window - static_cast<std::int64_t>(UsageLedger::keptWindows);
     for (const StoreObject &object : objects) {
         Reason reason;
@@ -180,7 +184,7 @@
                              return reportSealed(window, text);
                          if (reply.status == StoreStatus::Conflict)
                              return readSeal(window);
-                         failed(window, reply.lastReason);
+                         postpone(window, reply.lastReason);
                      });
 }
 
@@ -189,7 +193,7 @@
     hooks_.store.get(sealPath(window), [this, window](const StoreReply &reply) {
         if (reply.status == StoreStatus::Ok)
             return reportSealed(window, reply.objects.front().value);
-        failed(window, reply.lastReason);
+        postpone(window, reply.lastReason);
     });
 }
 
@@ -198,11 +202,11 @@
     Reason reason;
     const auto counts = decodeSeal(text, &reason);
     if (!counts)
-        return failed(window, reason);
-    // The lease may have ended while the store answered.
+        return postpone(window, reason);
+    // The lease may have ended before the store replied.
     const auto authority = hooks_.authority();
     if (!authority)
-        return failed(window, {"lease", "ended"});
+        return postpone(window, {"lease", "ended"});
     hooks_.report(
         window, *counts, *authority,
         [this, window](DutyResult result, const Reason &why) { reported(window, result, why); });
@@ -211,18 +215,18 @@
 void UsageDuty::reported(std::int64_t window, DutyResult result, const Reason &reason)
 {
     if (result != DutyResult::Accepted)
-        return failed(window, reason);
-    windows_[window] = Stage::Reported;
+        return postpone(window, reason);
+    windows_[window] = WindowState::Reported;
     hooks_.events(Event{&events::usageWindowReported, {{"window", std::to_string(window)}}});
     const std::int64_t old = window - static_cast<std::int64_t>(UsageLedger::keptWindows);
     hooks_.store.remove(sealPath(old), std::nullopt, [](const StoreReply &) {});
 }
 
-void UsageDuty::failed(std::int64_t window, const Reason &reason)
+void UsageDuty::postpone(std::int64_t window, const Reason &reason)
 {
-    windows_[window] = Stage::Open;
+    windows_[window] = WindowState::Open;
     constexpr Millis retryAfter = Millis(700);
-    nextReport_ = hooks_.clock.now() + retryAfter;
+    nextReportAt_ = hooks_.clock.now() + retryAfter;
     hooks_.events(Event{&events::usageReportFailed,
                         {{"window", std::to_string(window)}, {"reason", reason.toString()}}});
 }
--- a/modules/gateway/usage/UsageDuty_test.cpp
+++ b/modules/gateway/usage/UsageDuty_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::int64_t windowMillis = 5000;
 
-/** Instances that count, one store, and a platform that takes reports. */
+/** Instances that count usage, one store, and a platform that receives reports. */
 class UsageCluster
 {
 public:
@@ -21,13 +21,13 @@
     FakeObjectStore store{network};
     std::vector<FakeProcessPtr> processes;
     std::vector<std::unique_ptr<GatewayUsage>> duties;
-    /** Which instance may report, and under which fence. */
+    /** Index of the instance that may report, and its fence. */
     std::size_t holder = 0;
     std::uint64_t fence = 1;
     bool isReportLost = false;
-    /** Places of the instances that take ledgers. */
+    /** Indices of the collectors. */
     std::vector<std::size_t> collectors;
-    /** Ledgers are given to collectors first, not only when the own write fails. */
+    /** Ledgers are sent to collectors first, not only when the direct write fails. */
     bool isShared = false;
     std::map<std::int64_t, std::set<std::string>> reports;
 
@@ -67,12 +67,12 @@
         duties.back()->setShared(isShared);
     }
 
-    /** Addresses are places in the cluster; an instance's own is empty. */
+    /** Addresses are indices in the cluster; an instance's own address is empty. */
     std::vector<PeerAddress> collectorsOf(std::size_t index) const
     {
         std::vector<PeerAddress> addresses;
-        for (const std::size_t place : collectors)
-            addresses.push_back(place == index ? PeerAddress() : std::to_string(place));
+        for (const std::size_t collector : collectors)
+            addresses.push_back(collector == index ? PeerAddress() : std::to_string(collector));
         return addresses;
     }
 
@@ -80,7 +80,7 @@
     {
         scheduler.after(Millis(1), [this, from, to, frame] {
             if (processes[to]->isRunning(scheduler.now()))
-                duties[to]->received(std::to_string(from), frame);
+                duties[to]->handleFrame(std::to_string(from), frame);
         });
     }
 
@@ -92,7 +92,7 @@
             duty->setShared(true);
     }
 
-    /** Lets time pass; each running instance counts a request every 100 ms. */
+    /** Advances time; each running instance counts a request every 100 ms. */
     void run(Millis span, bool counts = true)
     {
         const Millis end = scheduler.now() + span;
@@ -129,7 +129,8 @@
 
 } // namespace
 
-TEST_CASE("every window is reported whole, once it is over and before it is due")
+// A window reported early or not at all would bill customers for too few requests.
+TEST_CASE("every window is reported whole, after its end and before it is due")
 {
     UsageCluster cluster(4, 1);
     cluster.run(Millis(30000));
@@ -141,9 +142,9 @@
     CHECK(cluster.isEachWindowOnce());
 }
 
-// The holder dies with a window half collected, or its report's answer is lost; the next holder
-// takes up the same window. Two figures for one window would bill customers wrongly.
-TEST_CASE("holders that follow one another never report two figures for a window")
+// The holder crashes with a window half collected, or the response to its report is lost; the next
+// holder continues with the same window. Two figures for one window would bill customers wrongly.
+TEST_CASE("successive holders never report two figures for a window")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
@@ -166,9 +167,9 @@
     }
 }
 
-// An instance cannot reach the store while a window ends. Sealed without it, the report would lack
-// its requests; waited for without end, the report would never come.
-TEST_CASE("a window waits for an instance that is late, but not beyond its time")
+// An instance cannot reach the store when a window ends. Sealed without it, the report would lack
+// its requests; waiting for it without limit, no report would ever be sent.
+TEST_CASE("sealing a window waits for a late instance, up to the maximum delay")
 {
     for (const bool comesBack : {true, false}) {
         CAPTURE(comesBack);
@@ -185,9 +186,9 @@
     }
 }
 
-// The store turns one instance away for half a minute and serves the others. Callers notice
-// nothing, but each window would be billed without what ran through that instance.
-TEST_CASE("an instance that the store turns away is counted through another one")
+// The store refuses one instance for half a minute and serves the others. Callers notice nothing,
+// but each window would be billed without the requests of that instance.
+TEST_CASE("usage of an instance that the store refuses is delivered through a collector")
 {
     UsageCluster cluster(3, 11);
     cluster.collectors = {0, 2};
@@ -204,8 +205,9 @@
     CHECK(cluster.isEachWindowOnce());
 }
 
-// A copy that was passed on is written late, after its owner has written a newer one itself.
-TEST_CASE("copies of a ledger may come in any order and count once")
+// A collector can write its copy of a ledger after the owner has written a newer one itself. The
+// older copy must not lower the counts, nor be added to them.
+TEST_CASE("copies of a ledger may be merged in any order and count once")
 {
     const LedgerRecord older{6, {{7, {{"north", 3}, {"south", 1}}}}};
     const LedgerRecord newer{7, {{7, {{"north", 5}, {"south", 1}}}, {8, {{"north", 2}}}}};
@@ -218,41 +220,41 @@
     }
 }
 
-// What another instance gives to be written may be anything; it must not spoil the ledgers of the
-// others, which are written in the same object.
-TEST_CASE("what is no ledger of another instance is not written for it")
+// A message of another instance may contain anything. A malformed ledger or owner must not corrupt
+// the ledgers of the other instances, which are written in the same object.
+TEST_CASE("a collector does not write malformed ledgers")
 {
     UsageCluster cluster(2, 3);
     const std::string good = encodeLedger({7, {{7, {{"north", 3}}}}});
     const std::pair<const char *, std::string> rows[] = {
         {"", good}, {"a/b", good}, {"i-9.1", "no ledger"}, {"i-9.1", "{}"}};
-    const auto give = [&](const std::string &owner, const std::string &ledger) {
+    const auto collect = [&](const std::string &owner, const std::string &ledger) {
         const std::string frame = encodeLedgerMessage({owner, 1, ledger});
-        cluster.duties[0]->received("1", frame);
+        cluster.duties[0]->handleFrame("1", frame);
         cluster.run(Millis(1000), false);
         return cluster.store.value("usage/i-0.0+collected");
     };
     for (const auto &row : rows) {
         const std::string owner = row.first;
         CAPTURE(owner);
-        CHECK(give(owner, row.second).empty());
+        CHECK(collect(owner, row.second).empty());
     }
-    const auto held = decodeLedgers(give("i-9.1", good), nullptr);
-    REQUIRE(held);
-    CHECK(held->at("i-9.1").windows.at(7).at("north") == 3);
+    const auto decoded = decodeLedgers(collect("i-9.1", good), nullptr);
+    REQUIRE(decoded);
+    CHECK(decoded->at("i-9.1").windows.at(7).at("north") == 3);
 }
 
-// Two hundred instances each have counts to write when a window ends. One call each is more than
-// the windows are worth; the failure domain's collectors write for all, also when the first is
-// gone, and no request may be billed twice or not at all.
-TEST_CASE("collectors write the ledgers of all, and each counts once")
+// With 200 instances that have counts to write when a window ends, one store call each is too many.
+// The failure domain's collectors write for all, also when the first collector is gone, and no
+// request may be billed twice or not at all.
+TEST_CASE("collectors write the ledgers of all instances, and each counts once")
 {
     struct Row
     {
         const char *what;
-        /** Stopped for good after the first window. */
+        /** Collectors killed after the first window. */
         std::vector<std::size_t> dead;
-        std::uint64_t mostPuts;
+        std::uint64_t maxPuts;
     };
     const Row rows[] = {
         {"all well", {}, 3 * 8 + 30},
@@ -268,11 +270,11 @@
             duty->setInstances(40);
         cluster.share({0, 1, 2});
         cluster.run(Millis(8000));
-        for (const std::size_t place : row.dead)
-            cluster.processes[place]->kill();
+        for (const std::size_t index : row.dead)
+            cluster.processes[index]->kill();
         const std::uint64_t before = cluster.store.counts().puts;
         cluster.run(Millis(8 * windowMillis));
-        CHECK(cluster.store.counts().puts - before <= row.mostPuts);
+        CHECK(cluster.store.counts().puts - before <= row.maxPuts);
         const std::uint64_t each = 50 * (40 - row.dead.size());
         for (std::int64_t window = 1002; window <= 1007; ++window) {
             CAPTURE(window);
@@ -283,9 +285,9 @@
     }
 }
 
-// The store turns a third of the instances away, the first collector among them. Its ledgers are
-// never acknowledged; taken for written, they would be missing from the bill.
-TEST_CASE("ledgers that a collector cannot write go another way")
+// The store refuses a third of the instances, among them the first collector. The ledgers it cannot
+// write get no receipt; if their owners took them as written, they would be missing from the bill.
+TEST_CASE("ledgers that a collector cannot write take another route")
 {
     UsageCluster cluster(40, 13);
     cluster.holder = 39;
@@ -306,10 +308,10 @@
     CHECK(cluster.isEachWindowOnce());
 }
 
-// Instances are restarted one after the other. The ledger of a life that is over never says that it
-// is complete; waited for, every report of the next two windows would come five seconds later, and
-// too late if the holder then loses the store.
-TEST_CASE("a former life of an instance that started again is not waited for")
+// Instances are restarted one after the other. The ledger of a previous incarnation never becomes
+// complete; if the holder waited for it, each report of the next two windows would be five seconds
+// later, and too late if the holder then loses the store.
+TEST_CASE("reports do not wait for the previous incarnation of a restarted instance")
 {
     UsageCluster cluster(3, 5);
     cluster.run(Millis(6000));
@@ -323,7 +325,9 @@
     CHECK(cluster.isEachWindowOnce());
 }
 
-TEST_CASE("an instance that ended is not waited for, and its ledger is cleared away in time")
+// The ledger of an ended instance never becomes complete: it must not delay the reports, nor remain
+// in the store.
+TEST_CASE("reports do not wait for an ended instance, and its ledger is removed in time")
 {
     UsageCluster cluster(3, 5);
     cluster.run(Millis(6000));
@@ -338,7 +342,8 @@
     CHECK(cluster.isEachWindowOnce());
 }
 
-TEST_CASE("records that cannot be read say why")
+// Without a reason in the log, an operator could not tell which record is damaged, and how.
+TEST_CASE("decoding a malformed record returns a reason")
 {
     Reason reason;
     for (const char *bad :
--- a/modules/gateway/usage/UsageRecords.cpp
+++ b/modules/gateway/usage/UsageRecords.cpp
@@ -67,7 +67,7 @@
 {
     const Json owners = Json::parse(text, nullptr, false);
     if (!owners.is_object()) {
-        fail(lastReason, "ledgers", "are no object");
+        fail(lastReason, "ledgers", "are not a JSON object");
         return std::nullopt;
     }
     Ledgers ledgers;
--- a/modules/gateway/usage/UsageRecords.h
+++ b/modules/gateway/usage/UsageRecords.h
@@ -9,23 +9,23 @@
 
 namespace cuminrail {
 
-/** An instance's counts of its latest windows, as the store keeps them. */
+/** An instance's counts of its latest windows, as stored. */
 struct LedgerRecord
 {
-    /** The last window that was over when this was written: its counts are complete. */
+    /** The last window that had ended when this was written; counts up to it are complete. */
     std::int64_t completeThrough = 0;
     std::map<std::int64_t, CustomerCounts> windows;
 };
 
-/** Ledgers by owner: an instance in one of its lives, "NAME.LIFE". */
+/** Ledgers by owner, an incarnation of an instance: "NAME.INCARNATION". */
 using Ledgers = std::map<std::string, LedgerRecord>;
 
-/** Ends the name of an object that holds the ledgers of several owners. */
+/** Suffix of the name of an object that holds the ledgers of several owners. */
 inline constexpr const char *collectedSuffix = "+collected";
 
 /**
-    Takes over what another copy of the same instance's ledger knows more of. Counts only grow, so
-    the larger figure is the newer one, and copies may come in any order.
+    Merges another copy of the same owner's ledger. Counts only grow, so the larger count is the
+    newer one, and copies may be merged in any order.
 */
 void mergeLedger(LedgerRecord &into, const LedgerRecord &other);
 
@@ -35,7 +35,7 @@
 std::string encodeLedgers(const Ledgers &ledgers);
 std::optional<Ledgers> decodeLedgers(const std::string &text, Reason *lastReason);
 
-/** A window's final figures, as the store keeps them. */
+/** Encodes and decodes a window's final counts, as stored. */
 std::string encodeSeal(const CustomerCounts &counts);
 std::optional<CustomerCounts> decodeSeal(const std::string &text, Reason *lastReason);
 
--- a/modules/gateway/usage/UsageTiming.h
+++ b/modules/gateway/usage/UsageTiming.h
@@ -6,27 +6,28 @@
 
 namespace cuminrail {
 
-/** How usage travels from the instances that count it to the report. */
+/** Timing of usage counts, from the instances that count them to the report. */
 struct UsageTiming
 {
     Millis window = Millis::seconds(5);
     /**
-        How often an instance sends its counts: what a crash can lose. The more instances there
-        are, the smaller is one's part of the report, and the longer it may wait: up to a window.
+        Interval at which an instance sends its counts; a crash loses at most this much. The more
+        instances there are, the smaller the share of each in the report, so the interval grows with
+        their number, up to a window.
     */
-    Millis flushLeast = Millis(1200);
-    Millis flushEach = Millis(200);
-    /** After a window's end: when instances send their counts of it for the last time. */
-    Millis lastFlush = Millis(300);
-    /** After a window's end: when its counts are taken together. */
-    Millis sealAfter = Millis(2500);
+    Millis minFlushInterval = Millis(1200);
+    Millis flushIntervalPerInstance = Millis(200);
+    /** Delay after a window's end until instances send their final counts of it. */
+    Millis finalFlushDelay = Millis(300);
+    /** Delay after a window's end until its counts are summed and sealed. */
+    Millis sealDelay = Millis(2500);
     /**
-        After a window's end: sealed even if an instance that wrote of late has not completed it.
-        Leaves time for the report itself until it is due.
+        Delay after a window's end until it is sealed even if an instance that wrote recently has
+        not completed it. Leaves time to send the report before it is due.
     */
-    Millis sealAtLatest = Millis(7000);
-    /** Windows this far back are still reported after a change of the holder. */
-    std::int64_t lookBack = 4;
+    Millis maxSealDelay = Millis(7000);
+    /** A new holder of the duty still reports windows up to this many windows back. */
+    std::int64_t lookBackWindows = 4;
 };
 
 } // namespace cuminrail
