--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -105,7 +105,7 @@
     context_.onExecutionStarted = [this](const std::string &customer) { usage_.count(customer); };
     sync_.onConfiguration = [this] { applyLimits(); };
     feeds_.isLinked = [this](const PeerAddress &peer) { return fabric_.isLinked(peer); };
-    sync_.onLearned = [this](const FeedUpdate &update) { feeds_.passOn(update); };
+    sync_.onWatchUpdate = [this](const FeedUpdate &update) { feeds_.passOn(update); };
     context_.quotas =
         std::make_unique<QuotaExchange>(settings_.quotas, fabric_.transport(), environment_.clock);
     context_.limits = std::make_unique<LimitExchange>(settings_.upstreamLimits, fabric_.transport(),
@@ -123,7 +123,7 @@
         context_.prefillExchange = std::make_unique<BookExchange>(
             settings_.links.toString(), fabric_.transport(), environment_.clock);
         context_.prefillExchange->hadReadNothing = [this](EngineKey engine, Millis at) {
-            return hadNoPrefill(engine, at);
+            return wasUnusedAt(engine, at);
         };
         queryTick_.setAfter(queryTickInterval);
     }
--- a/modules/gateway/Gateway.h
+++ b/modules/gateway/Gateway.h
@@ -91,9 +91,9 @@
     void tickDrain();
     void tickPeers();
     /** Updates the share of instances that this one has links to. */
-    void updateReach();
+    void updateReachableShare();
     /** Returns whether an engine had no prefilled prompt yet at a time of the steady clock. */
-    bool hadNoPrefill(EngineKey engine, Millis at) const;
+    bool wasUnusedAt(EngineKey engine, Millis at) const;
     void updateGroup();
     void onPeerFrame(const PeerAddress &from, const std::string &frame);
     /** Returns the instances to which this one may send its usage ledger. */
--- a/modules/gateway/GatewayPeers.cpp
+++ b/modules/gateway/GatewayPeers.cpp
@@ -20,7 +20,7 @@
     if (!context_.prefillExchange)
         return;
     fabric_.tick();
-    updateReach();
+    updateReachableShare();
     if (peersRevision_ == registry_.revision())
         return;
     peersRevision_ = registry_.revision();
@@ -40,7 +40,7 @@
     updateGroup();
 }
 
-void Gateway::updateReach()
+void Gateway::updateReachableShare()
 {
     const Millis now = environment_.clock.now();
     if (now < nextReachUpdateAt_)
@@ -56,7 +56,7 @@
     context_.limits->setReach(reach);
 }
 
-bool Gateway::hadNoPrefill(EngineKey engine, Millis at) const
+bool Gateway::wasUnusedAt(EngineKey engine, Millis at) const
 {
     // On the first start of a whole system, the engines have not been used by any instance.
     if (settings_.isFirstStart && at < startedAt_ + firstStartSettleTime)
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -23,8 +23,8 @@
     FeedFollower::Hooks hooks{
         store, Clock([this] { return context_.now(); }), random, {}, {}, {}, {}, {}, {}};
     hooks.onLearned = [this](const FeedUpdate &update) {
-        if (onLearned)
-            onLearned(update);
+        if (onWatchUpdate)
+            onWatchUpdate(update);
     };
     hooks.onFailed = [this, feed](const Reason &reason) {
         context_.events(
@@ -93,10 +93,10 @@
 
 void StoreSync::setInstances(std::size_t count)
 {
-    const Millis scaled = batchDelayPerInstance * static_cast<std::int64_t>(count);
-    const Millis batchDelay = std::clamp(scaled, minBatchDelay, maxBatchDelay);
-    configuration_.setGathering(batchDelay);
-    upstreams_.setGathering(batchDelay);
+    const Millis scaled = batchIntervalPerInstance * static_cast<std::int64_t>(count);
+    const Millis batchInterval = std::clamp(scaled, minBatchInterval, maxBatchInterval);
+    configuration_.setGathering(batchInterval);
+    upstreams_.setGathering(batchInterval);
 }
 
 void StoreSync::noteStoreFailure()
--- a/modules/gateway/control/StoreSync.h
+++ b/modules/gateway/control/StoreSync.h
@@ -16,9 +16,9 @@
         watch of every instance, so the delay grows with the number of instances, up to a third of
         the time that the platform allows until an upstream's leaving must be known.
     */
-    static constexpr Millis minBatchDelay = Millis(300);
-    static constexpr Millis batchDelayPerInstance = Millis(10);
-    static constexpr Millis maxBatchDelay = Millis(900);
+    static constexpr Millis minBatchInterval = Millis(300);
+    static constexpr Millis batchIntervalPerInstance = Millis(10);
+    static constexpr Millis maxBatchInterval = Millis(900);
 
     StoreSync(RelayContext &context, const ObjectStore &store, const RandomHook &random);
     StoreSync(const StoreSync &) = delete;
@@ -44,7 +44,7 @@
     /** Called after a newer configuration has come into force here. */
     std::function<void()> onConfiguration;
     /** Called with each update, on an instance that watches the store for others. */
-    std::function<void(const FeedUpdate &)> onLearned;
+    std::function<void(const FeedUpdate &)> onWatchUpdate;
 
 private:
     FeedFollower::Hooks commonHooks(const ObjectStore &store, const RandomHook &random,
--- a/modules/gateway/request/RelayLimits.cpp
+++ b/modules/gateway/request/RelayLimits.cpp
@@ -58,9 +58,9 @@
     // engine does the prefill itself.
     const UpstreamLife incarnation = attempt_.upstream->entry.life();
     attempt_ = Attempt();
-    limits.ask(incarnation, [self = shared_from_this()](const CreditAnswer &reply) {
+    limits.ask(incarnation, [self = shared_from_this()](const CreditAnswer &result) {
         if (!self->hasEnded_)
-            self->onCreditReply(reply);
+            self->onCreditResult(result);
     });
     return true;
 }
@@ -72,10 +72,10 @@
     limitRetryAfter_ = std::min(limitRetryAfter_, roomAfter);
 }
 
-void RequestRelay::onCreditReply(const CreditAnswer &reply)
+void RequestRelay::onCreditResult(const CreditAnswer &result)
 {
-    if (!reply.isGranted)
-        noteLimitReached(reply.comeBackAfter);
+    if (!result.isGranted)
+        noteLimitReached(result.comeBackAfter);
     if (choose())
         deferOrSend();
     else if (!requestCredit())
--- a/modules/gateway/request/RelayQuota.cpp
+++ b/modules/gateway/request/RelayQuota.cpp
@@ -29,25 +29,25 @@
         return dispatch();
     const double cost = quotaCost(*quota);
     context_.quotas->ask(customer_, cost,
-                         [self = shared_from_this(), cost](const QuotaVerdict &verdict) {
-                             self->onQuotaVerdict(verdict, cost);
+                         [self = shared_from_this(), cost](const QuotaVerdict &outcome) {
+                             self->onQuotaOutcome(outcome, cost);
                          });
 }
 
-void RequestRelay::onQuotaVerdict(const QuotaVerdict &verdict, double cost)
+void RequestRelay::onQuotaOutcome(const QuotaVerdict &outcome, double cost)
 {
-    quotaGrant_ = verdict.grant;
+    quotaGrant_ = outcome.grant;
     // The deadline passed or the caller left before the quota's owner replied.
     if (hasEnded_)
         return context_.quotas->giveBack(quotaGrant_);
-    if (verdict.result == QuotaResult::Granted)
+    if (outcome.result == QuotaResult::Granted)
         return dispatch();
     const auto jitter = static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id)
                                                   % std::uint64_t(quotaRetryJitter.count()));
-    if (verdict.result == QuotaResult::Unknown)
+    if (outcome.result == QuotaResult::Unknown)
         return refuse(503, GiveUpCause::QuotaUnknown, unknownQuotaRetryAfter + Millis(jitter),
                       "nobody can tell how much its customer has used");
-    std::optional<Millis> retryAfter = verdict.comeBackAfter;
+    std::optional<Millis> retryAfter = outcome.comeBackAfter;
     if (retryAfter)
         *retryAfter += Millis(jitter);
     const auto number = [](double value) {
@@ -55,7 +55,7 @@
     };
     const CustomerQuota *quota = context_.quotas->quota(customer_);
     refuse(429, GiveUpCause::OverQuota, retryAfter,
-           "its customer is over its quota: " + number(cost) + " asked, " + number(verdict.level)
+           "its customer is over its quota: " + number(cost) + " asked, " + number(outcome.level)
                + " left, " + number(quota == nullptr ? 0 : quota->perSecond) + " a second");
 }
 
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -75,7 +75,7 @@
     /** Returns what the request costs of its customer's quota, in the quota's unit. */
     double quotaCost(const CustomerQuota &quota) const;
     void requestQuota();
-    void onQuotaVerdict(const QuotaVerdict &verdict, double cost);
+    void onQuotaOutcome(const QuotaVerdict &outcome, double cost);
     /** Identifies the request's content; computed at the first call. */
     const RequestFingerprint &fingerprint() const;
     bool isSuspected() const;
@@ -96,9 +96,9 @@
     bool chooseAmong(const std::vector<UpstreamPointer> &upstreams);
     /** Returns the upstreams that can be used now: those without a limit, or with a credit here. */
     const std::vector<UpstreamPointer> &candidates();
-    /** Returns true if a credit of a limited upstream was requested; onCreditReply() continues. */
+    /** Returns true if a credit of a limited upstream was requested; onCreditResult() continues. */
     bool requestCredit();
-    void onCreditReply(const CreditAnswer &answer);
+    void onCreditResult(const CreditAnswer &result);
     /** A limited upstream takes no request before @c roomAfter has passed. */
     void noteLimitReached(Millis roomAfter);
     /** Consumes the credits of the chosen upstreams, just before sending. */
