--- a/modules/keepers/ranking/KeeperRanking.cpp
+++ b/modules/keepers/ranking/KeeperRanking.cpp
@@ -7,54 +7,54 @@
 
 namespace cuminrail {
 
-bool KeeperRanking::setPeers(std::vector<KeeperCandidate> peers)
+bool OwnerRanking::setPeers(std::vector<KeeperCandidate> peers)
 {
-    const std::vector<Ranked> before = std::exchange(peers_, {});
+    const std::vector<Ranked> before = std::exchange(owners_, {});
     for (KeeperCandidate &peer : peers) {
         const std::uint64_t hash = StableHash().add(peer.instance.text()).value();
-        peers_.push_back({std::move(peer), hash});
+        owners_.push_back({std::move(peer), hash});
     }
     // Those with the lowest hashes, so that an instance that comes or goes changes one keeper.
-    std::sort(peers_.begin(), peers_.end(),
+    std::sort(owners_.begin(), owners_.end(),
               [](const Ranked &one, const Ranked &other) { return one.hash < other.hash; });
-    const std::size_t keepers = std::max(leastKeepers, peers_.size() / instancesEach);
-    peers_.resize(std::min(peers_.size(), keepers));
+    const std::size_t ownerCount = std::max(minOwners, owners_.size() / instancesPerOwner);
+    owners_.resize(std::min(owners_.size(), ownerCount));
     const auto isSame = [](const Ranked &one, const Ranked &other) {
         return one.hash == other.hash && one.peer.address == other.peer.address;
     };
-    return !std::equal(before.begin(), before.end(), peers_.begin(), peers_.end(), isSame);
+    return !std::equal(before.begin(), before.end(), owners_.begin(), owners_.end(), isSame);
 }
 
-std::vector<PeerAddress> KeeperRanking::addresses() const
+std::vector<PeerAddress> OwnerRanking::addresses() const
 {
     std::vector<PeerAddress> addresses;
-    for (const Ranked &keeper : peers_) {
-        if (keeper.peer.address != self_)
-            addresses.push_back(keeper.peer.address);
+    for (const Ranked &owner : owners_) {
+        if (owner.peer.address != self_)
+            addresses.push_back(owner.peer.address);
     }
     return addresses;
 }
 
-bool KeeperRanking::isKeeper() const
+bool OwnerRanking::isOwner() const
 {
-    return std::any_of(peers_.begin(), peers_.end(),
+    return std::any_of(owners_.begin(), owners_.end(),
                        [this](const Ranked &each) { return each.peer.address == self_; });
 }
 
-bool KeeperRanking::isPassedOver(const PeerAddress &peer, Millis now) const
+bool OwnerRanking::isExcluded(const PeerAddress &peer, Millis now) const
 {
-    const auto found = silence_.find(peer);
-    return found != silence_.end() && now < found->second.passedOverUntil;
+    const auto found = missedReplies_.find(peer);
+    return found != missedReplies_.end() && now < found->second.excludedUntil;
 }
 
-template<typename IsLeftOut>
-const PeerAddress &KeeperRanking::firstFor(KeeperKey key, IsLeftOut isLeftOut) const
+template<typename IsSkipped>
+const PeerAddress &OwnerRanking::firstAllowed(OwnershipKey key, IsSkipped isSkipped) const
 {
     const Ranked *best = nullptr;
     std::uint64_t bestScore = 0;
-    for (const Ranked &candidate : peers_) {
+    for (const Ranked &candidate : owners_) {
         const std::uint64_t score = StableHash().add(candidate.hash).add(key).value();
-        if ((best != nullptr && score <= bestScore) || isLeftOut(candidate.peer.address))
+        if ((best != nullptr && score <= bestScore) || isSkipped(candidate.peer.address))
             continue;
         best = &candidate;
         bestScore = score;
@@ -62,42 +62,43 @@
     return best == nullptr ? self_ : best->peer.address;
 }
 
-const PeerAddress &KeeperRanking::firstOf(KeeperKey key) const
+const PeerAddress &OwnerRanking::primaryOwnerOf(OwnershipKey key) const
 {
-    return firstFor(key, [](const PeerAddress &) { return false; });
+    return firstAllowed(key, [](const PeerAddress &) { return false; });
 }
 
-std::vector<PeerAddress> KeeperRanking::firstFew(KeeperKey key, std::size_t most) const
+std::vector<PeerAddress> OwnerRanking::ownersOf(OwnershipKey key, std::size_t maxCount) const
 {
-    std::vector<PeerAddress> few;
-    while (few.size() < std::min(most, peers_.size())) {
-        few.push_back(firstFor(key, [&few](const PeerAddress &peer) {
-            return std::find(few.begin(), few.end(), peer) != few.end();
+    std::vector<PeerAddress> first;
+    while (first.size() < std::min(maxCount, owners_.size())) {
+        first.push_back(firstAllowed(key, [&first](const PeerAddress &peer) {
+            return std::find(first.begin(), first.end(), peer) != first.end();
         }));
     }
-    return few;
+    return first;
 }
 
-const PeerAddress &KeeperRanking::keeperOf(KeeperKey key, Millis now) const
+const PeerAddress &OwnerRanking::ownerOf(OwnershipKey key, Millis now) const
 {
-    return firstFor(key, [&](const PeerAddress &peer) { return isPassedOver(peer, now); });
+    return firstAllowed(key, [&](const PeerAddress &peer) { return isExcluded(peer, now); });
 }
 
-const PeerAddress &KeeperRanking::keeperBeside(const PeerAddress &silent, KeeperKey key,
-                                               Millis now) const
+const PeerAddress &OwnerRanking::nextOwnerOf(const PeerAddress &unresponsive, OwnershipKey key,
+                                             Millis now) const
 {
-    return firstFor(
-        key, [&](const PeerAddress &peer) { return peer == silent || isPassedOver(peer, now); });
+    return firstAllowed(key, [&](const PeerAddress &peer) {
+        return peer == unresponsive || isExcluded(peer, now);
+    });
 }
 
-void KeeperRanking::leftUnanswered(const PeerAddress &peer, Millis now)
+void OwnerRanking::recordMissedReply(const PeerAddress &peer, Millis now)
 {
-    Silence &silence = silence_[peer];
-    if (++silence.count < silenceBorne)
+    MissedReplies &missed = missedReplies_[peer];
+    if (++missed.count < maxMissedReplies)
         return;
-    silence.passedOverUntil = now + passedOverFor;
+    missed.excludedUntil = now + exclusionPeriod;
     // One more silence after that time is enough to pass it over again.
-    silence.count = silenceBorne - 1;
+    missed.count = maxMissedReplies - 1;
 }
 
 } // namespace cuminrail
--- a/modules/keepers/ranking/KeeperRanking.h
+++ b/modules/keepers/ranking/KeeperRanking.h
@@ -12,7 +12,7 @@
 namespace cuminrail {
 
 /** Hash of what is kept: an engine's address, a customer's name. */
-using KeeperKey = std::uint64_t;
+using OwnershipKey = std::uint64_t;
 
 /** An instance that may keep state for the others. */
 struct KeeperCandidate
@@ -34,46 +34,47 @@
     that leaves questions unanswered is passed over for a while, and the next in order takes its
     keys over, without their state.
 */
-class KeeperRanking
+class OwnerRanking
 {
 public:
     /** Unanswered questions in a row after which a keeper is passed over, and for how long. */
-    static constexpr int silenceBorne = 2;
-    static constexpr Millis passedOverFor = Millis(2000);
+    static constexpr int maxMissedReplies = 2;
+    static constexpr Millis exclusionPeriod = Millis(2000);
 
     /** One instance in so many is a keeper, where there are many. */
-    static constexpr std::size_t instancesEach = 4;
-    static constexpr std::size_t leastKeepers = 16;
+    static constexpr std::size_t instancesPerOwner = 4;
+    static constexpr std::size_t minOwners = 16;
 
     /** The first is this instance. Returns false if the keepers are the same as before. */
     bool setPeers(std::vector<KeeperCandidate> peers);
-    bool isEmpty() const { return peers_.empty(); }
+    bool isEmpty() const { return owners_.empty(); }
     /** Whether this instance is one of the keepers. */
-    bool isKeeper() const;
+    bool isOwner() const;
     /** Links of all keepers but this instance. */
     std::vector<PeerAddress> addresses() const;
 
     /** Whether this instance keeps the key while no keeper is passed over. */
-    bool isOwn(KeeperKey key) const { return firstOf(key).empty(); }
+    bool ownsKey(OwnershipKey key) const { return primaryOwnerOf(key).empty(); }
     /** Returns the keeper's address while none is passed over; empty for this instance. */
-    const PeerAddress &firstOf(KeeperKey key) const;
+    const PeerAddress &primaryOwnerOf(OwnershipKey key) const;
     /**
         Returns the first few in the key's order, whether passed over or not; an empty address is
         this instance's.
     */
-    std::vector<PeerAddress> firstFew(KeeperKey key, std::size_t most) const;
+    std::vector<PeerAddress> ownersOf(OwnershipKey key, std::size_t maxCount) const;
     /** Returns the keeper's address; empty for this instance. */
-    const PeerAddress &keeperOf(KeeperKey key, Millis now) const;
+    const PeerAddress &ownerOf(OwnershipKey key, Millis now) const;
     /** The same where one keeper, just found silent, is left out as well. */
-    const PeerAddress &keeperBeside(const PeerAddress &silent, KeeperKey key, Millis now) const;
-    void answered(const PeerAddress &peer) { silence_.erase(peer); }
-    void leftUnanswered(const PeerAddress &peer, Millis now);
+    const PeerAddress &nextOwnerOf(const PeerAddress &unresponsive, OwnershipKey key,
+                                   Millis now) const;
+    void recordReply(const PeerAddress &peer) { missedReplies_.erase(peer); }
+    void recordMissedReply(const PeerAddress &peer, Millis now);
 
 private:
-    struct Silence
+    struct MissedReplies
     {
         int count = 0;
-        Millis passedOverUntil;
+        Millis excludedUntil;
     };
 
     struct Ranked
@@ -83,12 +84,12 @@
     };
 
     /** Returns the address of the first in the key's order that is not left out, or the own one. */
-    template<typename IsLeftOut>
-    const PeerAddress &firstFor(KeeperKey key, IsLeftOut isLeftOut) const;
-    bool isPassedOver(const PeerAddress &peer, Millis now) const;
+    template<typename IsSkipped>
+    const PeerAddress &firstAllowed(OwnershipKey key, IsSkipped isSkipped) const;
+    bool isExcluded(const PeerAddress &peer, Millis now) const;
 
-    std::vector<Ranked> peers_;
-    std::unordered_map<PeerAddress, Silence> silence_;
+    std::vector<Ranked> owners_;
+    std::unordered_map<PeerAddress, MissedReplies> missedReplies_;
     PeerAddress self_;
 };
 
--- a/modules/keepers/ranking/KeeperRanking_test.cpp
+++ b/modules/keepers/ranking/KeeperRanking_test.cpp
@@ -9,24 +9,24 @@
 
 namespace {
 
-constexpr KeeperKey mostKeys = 800;
+constexpr OwnershipKey keyCount = 800;
 
 /** What instance @c self works out of so many that are registered. */
-KeeperRanking keepersOf(int self, int count, int without = -1)
+OwnerRanking rankingOf(int self, int count, int without = -1)
 {
     std::vector<KeeperCandidate> peers{{InstanceId("i-" + std::to_string(self)), {}}};
     for (int i = 0; i < count; ++i) {
         if (i != self && i != without)
             peers.push_back({InstanceId("i-" + std::to_string(i)), std::to_string(i)});
     }
-    KeeperRanking keepers;
-    keepers.setPeers(std::move(peers));
-    return keepers;
+    OwnerRanking owners;
+    owners.setPeers(std::move(peers));
+    return owners;
 }
 
-PeerAddress keeperOf(const KeeperRanking &keepers, KeeperKey key, int self)
+PeerAddress ownerOf(const OwnerRanking &owners, OwnershipKey key, int self)
 {
-    const PeerAddress &address = keepers.keeperOf(key, Millis(0));
+    const PeerAddress &address = owners.ownerOf(key, Millis(0));
     return address.empty() ? std::to_string(self) : address;
 }
 
@@ -39,21 +39,21 @@
     struct Row
     {
         int instances;
-        std::size_t keepers;
+        std::size_t owners;
     };
     for (const Row &row : {Row{9, 9}, Row{16, 16}, Row{40, 16}, Row{195, 48}, Row{370, 92}}) {
         CAPTURE(row.instances);
-        const KeeperRanking first = keepersOf(0, row.instances);
-        const KeeperRanking last = keepersOf(row.instances - 1, row.instances);
-        std::set<PeerAddress> used;
-        for (KeeperKey key = 1; key <= mostKeys; ++key) {
-            const PeerAddress keeper = keeperOf(first, key, 0);
-            CHECK(keeper == keeperOf(last, key, row.instances - 1));
-            used.insert(keeper);
+        const OwnerRanking first = rankingOf(0, row.instances);
+        const OwnerRanking last = rankingOf(row.instances - 1, row.instances);
+        std::set<PeerAddress> seen;
+        for (OwnershipKey key = 1; key <= keyCount; ++key) {
+            const PeerAddress owner = ownerOf(first, key, 0);
+            CHECK(owner == ownerOf(last, key, row.instances - 1));
+            seen.insert(owner);
         }
-        CHECK(used.size() == row.keepers);
-        CHECK(first.addresses().size() >= row.keepers - 1);
-        CHECK(first.addresses().size() <= row.keepers);
+        CHECK(seen.size() == row.owners);
+        CHECK(first.addresses().size() >= row.owners - 1);
+        CHECK(first.addresses().size() <= row.owners);
     }
 }
 
@@ -61,31 +61,31 @@
 // wrong for seconds.
 TEST_CASE("an instance that goes moves its own books only")
 {
-    const KeeperRanking before = keepersOf(0, 195);
-    for (int gone = 1; gone < 195; gone += 13) {
-        CAPTURE(gone);
-        const KeeperRanking after = keepersOf(0, 195, gone);
+    const OwnerRanking before = rankingOf(0, 195);
+    for (int removed = 1; removed < 195; removed += 13) {
+        CAPTURE(removed);
+        const OwnerRanking after = rankingOf(0, 195, removed);
         int moved = 0;
-        for (KeeperKey key = 1; key <= mostKeys; ++key)
-            moved += keeperOf(before, key, 0) == keeperOf(after, key, 0) ? 0 : 1;
+        for (OwnershipKey key = 1; key <= keyCount; ++key)
+            moved += ownerOf(before, key, 0) == ownerOf(after, key, 0) ? 0 : 1;
         // One of 48 goes and another one comes.
-        CHECK(moved <= static_cast<int>(mostKeys) * 3 / 48 + 1);
+        CHECK(moved <= static_cast<int>(keyCount) * 3 / 48 + 1);
     }
 }
 
 TEST_CASE("the first few of a key are different keepers, in the same order at every instance")
 {
     constexpr int count = 40;
-    for (KeeperKey key = 0; key < mostKeys; key += 50) {
+    for (OwnershipKey key = 0; key < keyCount; key += 50) {
         CAPTURE(key);
-        const auto few = keepersOf(0, count).firstFew(key, 3);
-        REQUIRE(few.size() == 3);
-        CHECK(std::set<PeerAddress>(few.begin(), few.end()).size() == 3);
-        CHECK(few.front() == keepersOf(0, count).firstOf(key));
-        const auto other = keepersOf(1, count).firstFew(key, 3);
-        for (std::size_t i = 0; i < few.size(); ++i)
-            CHECK((few[i].empty() ? "0" : few[i]) == (other[i].empty() ? "1" : other[i]));
+        const auto first = rankingOf(0, count).ownersOf(key, 3);
+        REQUIRE(first.size() == 3);
+        CHECK(std::set<PeerAddress>(first.begin(), first.end()).size() == 3);
+        CHECK(first.front() == rankingOf(0, count).primaryOwnerOf(key));
+        const auto other = rankingOf(1, count).ownersOf(key, 3);
+        for (std::size_t i = 0; i < first.size(); ++i)
+            CHECK((first[i].empty() ? "0" : first[i]) == (other[i].empty() ? "1" : other[i]));
     }
-    CHECK(keepersOf(0, 2).firstFew(7, 3).size() == 2);
-    CHECK(keepersOf(0, 1).firstFew(7, 3) == std::vector<PeerAddress>{PeerAddress()});
+    CHECK(rankingOf(0, 2).ownersOf(7, 3).size() == 2);
+    CHECK(rankingOf(0, 1).ownersOf(7, 3) == std::vector<PeerAddress>{PeerAddress()});
 }
--- a/modules/keepers/roster/PeerRoster.cpp
+++ b/modules/keepers/roster/PeerRoster.cpp
@@ -2,7 +2,7 @@
 
 namespace cuminrail {
 
-void PeerRoster::setPeers(const std::vector<KeeperCandidate> &peers)
+void PeerDirectory::setPeers(const std::vector<KeeperCandidate> &peers)
 {
     all_.clear();
     for (const KeeperCandidate &peer : peers) {
@@ -11,7 +11,7 @@
     }
 }
 
-std::optional<PeerAddress> PeerRoster::anyLinked(const RandomHook &random) const
+std::optional<PeerAddress> PeerDirectory::anyLinked(const RandomHook &random) const
 {
     std::vector<const PeerAddress *> linked;
     for (const PeerAddress &each : all_) {
--- a/modules/keepers/roster/PeerRoster.h
+++ b/modules/keepers/roster/PeerRoster.h
@@ -10,7 +10,7 @@
 namespace cuminrail {
 
 /** The other instances that can be told something. */
-class PeerRoster
+class PeerDirectory
 {
 public:
     /** Tells whether a link is ready; may be left out, all are then. */
--- a/modules/keepers/roster/PeerRoster_test.cpp
+++ b/modules/keepers/roster/PeerRoster_test.cpp
@@ -8,7 +8,7 @@
 
 TEST_CASE("by chance each linked instance is named, and no other one")
 {
-    PeerRoster roster;
+    PeerDirectory roster;
     const RandomHook random = seededRandom(1);
     CHECK_FALSE(roster.anyLinked(random));
     roster.setPeers({{InstanceId("self"), ""},
--- a/modules/keepers/testing/FrameNetwork.h
+++ b/modules/keepers/testing/FrameNetwork.h
@@ -46,7 +46,7 @@
     /** Whether a frame from one instance to another one is lost. */
     std::function<bool(int from, int to)> isCut = [](int, int) { return false; };
     int lossPercent = 0;
-    Millis delayMost = Millis(4);
+    Millis maxDelay = Millis(4);
 
 protected:
     ~FrameNetwork() = default;
@@ -92,7 +92,7 @@
         if (dead.count(from) > 0 || dead.count(to) > 0 || isCut(from, to)
             || pick(100) < lossPercent)
             return;
-        const Millis at = now + Millis(1 + pick(static_cast<int>(delayMost.count())));
+        const Millis at = now + Millis(1 + pick(static_cast<int>(maxDelay.count())));
         frames_.push_back({from, to, std::move(frame), at});
     }
 
--- a/modules/quarantine/book/SuspectBook.cpp
+++ b/modules/quarantine/book/SuspectBook.cpp
@@ -4,17 +4,19 @@
 
 namespace cuminrail {
 
-void SuspectBook::Table::put(const RequestFingerprint &fingerprint, Entry entry, std::size_t most)
+void SuspicionTable::BoundedEntries::put(const RequestFingerprint &fingerprint, Entry entry,
+                                         std::size_t maxEntries)
 {
     if (entries.insert_or_assign(fingerprint, std::move(entry)).second)
         order.push_back(fingerprint);
-    while (order.size() > most) {
+    while (order.size() > maxEntries) {
         entries.erase(order.front());
         order.pop_front();
     }
 }
 
-std::optional<SuspectBook::Entry> SuspectBook::Table::take(const RequestFingerprint &fingerprint)
+std::optional<SuspicionTable::Entry>
+SuspicionTable::BoundedEntries::extract(const RequestFingerprint &fingerprint)
 {
     const auto found = entries.find(fingerprint);
     if (found == entries.end())
@@ -25,111 +27,113 @@
     return entry;
 }
 
-SuspicionLevel SuspectBook::levelOf(const Entry &entry)
+SuspicionLevel SuspicionTable::levelOf(const Entry &entry)
 {
-    if (entry.ended.size() >= quarantinedFrom)
+    if (entry.ended.size() >= quarantinedThreshold)
         return SuspicionLevel::Quarantined;
-    return entry.ended.size() >= suspectedFrom ? SuspicionLevel::Suspected : SuspicionLevel::Noted;
+    return entry.ended.size() >= suspectedThreshold ? SuspicionLevel::Suspected
+                                                    : SuspicionLevel::Noted;
 }
 
-const SuspectBook::Entry *SuspectBook::entry(const RequestFingerprint &fingerprint,
-                                             Millis now) const
+const SuspicionTable::Entry *SuspicionTable::entry(const RequestFingerprint &fingerprint,
+                                                   Millis now) const
 {
-    for (const Table *table : {&raised_, &noted_}) {
-        const auto found = table->entries.find(fingerprint);
-        if (found != table->entries.end() && now < found->second.until)
+    for (const BoundedEntries *entries : {&suspects_, &noted_}) {
+        const auto found = entries->entries.find(fingerprint);
+        if (found != entries->entries.end() && now < found->second.expiresAt)
             return &found->second;
     }
     return nullptr;
 }
 
-bool SuspectBook::add(const Suspicion &suspicion, Millis now)
+bool SuspicionTable::add(const Suspicion &suspicion, Millis now)
 {
     const RequestFingerprint &fingerprint = suspicion.fingerprint;
-    if (suspicion.ended.empty() || isProven(fingerprint, now))
+    if (suspicion.ended.empty() || hasCompletedRecently(fingerprint, now))
         return false;
     const SuspicionLevel before = level(fingerprint, now);
-    std::optional<Entry> kept = raised_.take(fingerprint);
-    if (!kept)
-        kept = noted_.take(fingerprint);
-    if (!kept || now >= kept->until)
-        kept = Entry{{}, now + std::min(suspicion.left, keptFor)};
-    for (const UpstreamLife life : suspicion.ended) {
-        const bool isKnown =
-            std::find(kept->ended.begin(), kept->ended.end(), life) != kept->ended.end();
-        if (!isKnown && kept->ended.size() < mostEnds)
-            kept->ended.push_back(life);
+    std::optional<Entry> stored = suspects_.extract(fingerprint);
+    if (!stored)
+        stored = noted_.extract(fingerprint);
+    if (!stored || now >= stored->expiresAt)
+        stored = Entry{{}, now + std::min(suspicion.remaining, retention)};
+    for (const UpstreamLife incarnation : suspicion.ended) {
+        const bool isKnown = std::find(stored->ended.begin(), stored->ended.end(), incarnation)
+            != stored->ended.end();
+        if (!isKnown && stored->ended.size() < maxEnded)
+            stored->ended.push_back(incarnation);
     }
-    const SuspicionLevel after = levelOf(*kept);
+    const SuspicionLevel after = levelOf(*stored);
     if (after == SuspicionLevel::Noted)
-        noted_.put(fingerprint, std::move(*kept), mostNoted);
+        noted_.put(fingerprint, std::move(*stored), maxNoted);
     else
-        raised_.put(fingerprint, std::move(*kept), mostRaised);
+        suspects_.put(fingerprint, std::move(*stored), maxSuspects);
     return after > before && after != SuspicionLevel::Noted;
 }
 
-bool SuspectBook::prove(const RequestFingerprint &fingerprint, Millis now)
+bool SuspicionTable::recordCompletion(const RequestFingerprint &fingerprint, Millis now)
 {
-    if (proven_.insert_or_assign(fingerprint, now + provenFor).second)
-        provenOrder_.push_back(fingerprint);
-    while (provenOrder_.size() > mostProven) {
-        proven_.erase(provenOrder_.front());
-        provenOrder_.pop_front();
+    if (completed_.insert_or_assign(fingerprint, now + completionRetention).second)
+        completedOrder_.push_back(fingerprint);
+    while (completedOrder_.size() > maxCompleted) {
+        completed_.erase(completedOrder_.front());
+        completedOrder_.pop_front();
     }
-    noted_.take(fingerprint);
-    return raised_.take(fingerprint).has_value();
+    noted_.extract(fingerprint);
+    return suspects_.extract(fingerprint).has_value();
 }
 
-bool SuspectBook::isProven(const RequestFingerprint &fingerprint, Millis now) const
+bool SuspicionTable::hasCompletedRecently(const RequestFingerprint &fingerprint, Millis now) const
 {
-    const auto found = proven_.find(fingerprint);
-    return found != proven_.end() && now < found->second;
+    const auto found = completed_.find(fingerprint);
+    return found != completed_.end() && now < found->second;
 }
 
-SuspicionLevel SuspectBook::level(const RequestFingerprint &fingerprint, Millis now) const
+SuspicionLevel SuspicionTable::level(const RequestFingerprint &fingerprint, Millis now) const
 {
     const Entry *found = entry(fingerprint, now);
     return found == nullptr ? SuspicionLevel::None : levelOf(*found);
 }
 
-std::optional<Suspicion> SuspectBook::find(const RequestFingerprint &fingerprint, Millis now) const
+std::optional<Suspicion> SuspicionTable::find(const RequestFingerprint &fingerprint,
+                                              Millis now) const
 {
     const Entry *found = entry(fingerprint, now);
     if (found == nullptr)
         return std::nullopt;
-    return Suspicion{fingerprint, found->ended, found->until - now};
+    return Suspicion{fingerprint, found->ended, found->expiresAt - now};
 }
 
-std::vector<Suspicion> SuspectBook::nextRaised(std::size_t most, Millis now)
+std::vector<Suspicion> SuspicionTable::nextSuspects(std::size_t maxCount, Millis now)
 {
     std::vector<Suspicion> next;
-    const std::size_t count = std::min(most, raised_.order.size());
+    const std::size_t count = std::min(maxCount, suspects_.order.size());
     for (std::size_t i = 0; i < count; ++i) {
-        raised_.order.push_back(raised_.order.front());
-        raised_.order.pop_front();
-        if (auto suspicion = find(raised_.order.back(), now))
+        suspects_.order.push_back(suspects_.order.front());
+        suspects_.order.pop_front();
+        if (auto suspicion = find(suspects_.order.back(), now))
             next.push_back(std::move(*suspicion));
     }
     return next;
 }
 
-std::vector<RequestFingerprint> SuspectBook::expire(Millis now)
+std::vector<RequestFingerprint> SuspicionTable::expire(Millis now)
 {
     std::vector<RequestFingerprint> quarantined;
-    for (Table *table : {&raised_, &noted_}) {
+    for (BoundedEntries *table : {&suspects_, &noted_}) {
         const std::deque<RequestFingerprint> order = table->order;
         for (const RequestFingerprint &fingerprint : order) {
-            const Entry &kept = table->entries.at(fingerprint);
-            if (now < kept.until)
+            const Entry &stored = table->entries.at(fingerprint);
+            if (now < stored.expiresAt)
                 continue;
-            if (levelOf(kept) == SuspicionLevel::Quarantined)
+            if (levelOf(stored) == SuspicionLevel::Quarantined)
                 quarantined.push_back(fingerprint);
-            table->take(fingerprint);
+            table->extract(fingerprint);
         }
     }
-    while (!provenOrder_.empty() && !isProven(provenOrder_.front(), now)) {
-        proven_.erase(provenOrder_.front());
-        provenOrder_.pop_front();
+    while (!completedOrder_.empty() && !hasCompletedRecently(completedOrder_.front(), now)) {
+        completed_.erase(completedOrder_.front());
+        completedOrder_.pop_front();
     }
     return quarantined;
 }
--- a/modules/quarantine/book/SuspectBook.h
+++ b/modules/quarantine/book/SuspectBook.h
@@ -20,7 +20,7 @@
     /** Each once, SuspectBook::mostEnds at most. */
     std::vector<UpstreamLife> ended;
     /** How much longer it is kept. */
-    Millis left;
+    Millis remaining;
 };
 
 /** How far the suspicion against a request goes. */
@@ -47,33 +47,33 @@
     A request that ran to its end anywhere within the last minute is not suspected: upstreams that
     fail by themselves take many such requests with them. Bounded; the oldest entries go first.
 */
-class SuspectBook
+class SuspicionTable
 {
 public:
-    static constexpr std::size_t suspectedFrom = 2;
-    static constexpr std::size_t quarantinedFrom = 3;
+    static constexpr std::size_t suspectedThreshold = 2;
+    static constexpr std::size_t quarantinedThreshold = 3;
     /** Ends remembered of one request; more say nothing new. */
-    static constexpr std::size_t mostEnds = quarantinedFrom;
+    static constexpr std::size_t maxEnded = quarantinedThreshold;
     /** A request that is still fatal afterwards costs one upstream a day. */
-    static constexpr Millis keptFor = Millis::seconds(24 * 60 * 60);
-    static constexpr Millis provenFor = Millis::seconds(60);
-    static constexpr std::size_t mostNoted = 4096;
-    static constexpr std::size_t mostRaised = 1024;
-    static constexpr std::size_t mostProven = 4096;
+    static constexpr Millis retention = Millis::seconds(24 * 60 * 60);
+    static constexpr Millis completionRetention = Millis::seconds(60);
+    static constexpr std::size_t maxNoted = 4096;
+    static constexpr std::size_t maxSuspects = 1024;
+    static constexpr std::size_t maxCompleted = 4096;
 
     /** Adds what is told of a request. Returns true if its level rose to Suspected or beyond. */
     bool add(const Suspicion &suspicion, Millis now);
     /** The request ran to its end. Returns true if it was suspected and no longer is. */
-    bool prove(const RequestFingerprint &fingerprint, Millis now);
-    bool isProven(const RequestFingerprint &fingerprint, Millis now) const;
+    bool recordCompletion(const RequestFingerprint &fingerprint, Millis now);
+    bool hasCompletedRecently(const RequestFingerprint &fingerprint, Millis now) const;
 
     SuspicionLevel level(const RequestFingerprint &fingerprint, Millis now) const;
     std::optional<Suspicion> find(const RequestFingerprint &fingerprint, Millis now) const;
     /** Returns whether any request is suspected; else nothing needs to be looked up. */
-    bool hasRaised() const { return !raised_.entries.empty(); }
-    std::size_t raisedCount() const { return raised_.entries.size(); }
+    bool hasSuspects() const { return !suspects_.entries.empty(); }
+    std::size_t raisedCount() const { return suspects_.entries.size(); }
     /** Returns the next few that are suspected or quarantined, all of them in turn. */
-    std::vector<Suspicion> nextRaised(std::size_t most, Millis now);
+    std::vector<Suspicion> nextSuspects(std::size_t maxCount, Millis now);
     /** Drops what is over, and returns those that were quarantined. */
     std::vector<RequestFingerprint> expire(Millis now);
 
@@ -81,25 +81,25 @@
     struct Entry
     {
         std::vector<UpstreamLife> ended;
-        Millis until;
+        Millis expiresAt;
     };
     /** Entries with the order in which they came. */
-    struct Table
+    struct BoundedEntries
     {
         std::unordered_map<RequestFingerprint, Entry> entries;
         std::deque<RequestFingerprint> order;
 
-        void put(const RequestFingerprint &fingerprint, Entry entry, std::size_t most);
-        std::optional<Entry> take(const RequestFingerprint &fingerprint);
+        void put(const RequestFingerprint &fingerprint, Entry entry, std::size_t maxEntries);
+        std::optional<Entry> extract(const RequestFingerprint &fingerprint);
     };
 
     static SuspicionLevel levelOf(const Entry &entry);
     const Entry *entry(const RequestFingerprint &fingerprint, Millis now) const;
 
-    Table noted_;
-    Table raised_;
-    std::unordered_map<RequestFingerprint, Millis> proven_;
-    std::deque<RequestFingerprint> provenOrder_;
+    BoundedEntries noted_;
+    BoundedEntries suspects_;
+    std::unordered_map<RequestFingerprint, Millis> completed_;
+    std::deque<RequestFingerprint> completedOrder_;
 };
 
 } // namespace cuminrail
--- a/modules/quarantine/exchange/QuarantineExchange.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange.cpp
@@ -34,11 +34,11 @@
     const auto ended = json.is_object() ? json.find("ended") : json.end();
     if (!fingerprint || ended == json.end() || !ended->is_array())
         return std::nullopt;
-    Suspicion suspicion{*fingerprint, {}, SuspectBook::keptFor};
-    for (const auto &life : *ended) {
-        if (!life.is_number_unsigned())
+    Suspicion suspicion{*fingerprint, {}, SuspicionTable::retention};
+    for (const auto &incarnation : *ended) {
+        if (!incarnation.is_number_unsigned())
             return std::nullopt;
-        suspicion.ended.push_back(life.get<UpstreamLife>());
+        suspicion.ended.push_back(incarnation.get<UpstreamLife>());
     }
     return suspicion;
 }
@@ -49,14 +49,14 @@
     : environment_(std::move(environment))
 {
     const Millis now = environment_.clock.now();
-    const auto spread = static_cast<std::uint64_t>(readSpread.count());
-    readAt_ = now + Millis(static_cast<std::int64_t>(environment_.random() % spread));
+    const auto jitter = static_cast<std::uint64_t>(storeReadJitter.count());
+    storeReadAt_ = now + Millis(static_cast<std::int64_t>(environment_.random() % jitter));
 }
 
 void QuarantineExchange::setPeers(std::vector<KeeperCandidate> peers)
 {
-    others_.setPeers(peers);
-    keepers_.setPeers(std::move(peers));
+    peers_.setPeers(peers);
+    owners_.setPeers(std::move(peers));
 }
 
 std::optional<Millis>
@@ -64,67 +64,68 @@
 {
     if (level(fingerprint) != SuspicionLevel::Quarantined)
         return std::nullopt;
-    return book_.find(fingerprint, environment_.clock.now())->left;
+    return table_.find(fingerprint, environment_.clock.now())->remaining;
 }
 
-std::vector<PeerAddress> QuarantineExchange::keepersOf(const RequestFingerprint &fingerprint) const
+std::vector<PeerAddress> QuarantineExchange::ownersOf(const RequestFingerprint &fingerprint) const
 {
-    return keepers_.firstFew(StableHash().add(fingerprint.text()).value(), keepersEach);
+    return owners_.ownersOf(StableHash().add(fingerprint.text()).value(), ownersPerRequest);
 }
 
-bool QuarantineExchange::isKeeperOf(const RequestFingerprint &fingerprint) const
+bool QuarantineExchange::isOwnerOf(const RequestFingerprint &fingerprint) const
 {
-    const std::vector<PeerAddress> keepers = keepersOf(fingerprint);
-    return keepers.empty() || std::find(keepers.begin(), keepers.end(), "") != keepers.end();
+    const std::vector<PeerAddress> owners = ownersOf(fingerprint);
+    return owners.empty() || std::find(owners.begin(), owners.end(), "") != owners.end();
 }
 
-void QuarantineExchange::upstreamEnded(const RequestFingerprint &fingerprint, UpstreamLife life)
+void QuarantineExchange::upstreamEnded(const RequestFingerprint &fingerprint,
+                                       UpstreamLife incarnation)
 {
     ++stats_.ends;
     const Millis now = environment_.clock.now();
-    if (take({fingerprint, {life}, SuspectBook::keptFor}))
-        toAnnounce_.insert(fingerprint.text());
-    const auto suspicion = book_.find(fingerprint, now);
+    if (applySuspicion({fingerprint, {incarnation}, SuspicionTable::retention}))
+        pendingAnnouncements_.insert(fingerprint.text());
+    const auto suspicion = table_.find(fingerprint, now);
     if (!suspicion || !guardEnabled(Guard::SuspicionReported))
         return;
-    for (const PeerAddress &keeper : keepersOf(fingerprint)) {
-        if (!keeper.empty())
-            send(keeper, SuspicionNotice{true, {*suspicion}});
+    for (const PeerAddress &owner : ownersOf(fingerprint)) {
+        if (!owner.empty())
+            send(owner, SuspicionAnnouncement{true, {*suspicion}});
     }
 }
 
-bool QuarantineExchange::take(const Suspicion &suspicion)
+bool QuarantineExchange::applySuspicion(const Suspicion &suspicion)
 {
     const Millis now = environment_.clock.now();
     const RequestFingerprint &fingerprint = suspicion.fingerprint;
-    if (!book_.add(suspicion, now))
+    if (!table_.add(suspicion, now))
         return false;
     const bool isQuarantined = level(fingerprint) == SuspicionLevel::Quarantined;
     log(isQuarantined ? events::requestQuarantined : events::requestSuspected, fingerprint);
     if (!isQuarantined)
         return true;
     ++stats_.quarantined;
-    if (isKeeperOf(fingerprint))
-        toWrite_.emplace(fingerprint.text(), Writing());
+    if (isOwnerOf(fingerprint))
+        pendingWrites_.emplace(fingerprint.text(), PendingWrite());
     return true;
 }
 
 void QuarantineExchange::ranToItsEnd(const RequestFingerprint &fingerprint)
 {
-    if (!book_.prove(fingerprint, environment_.clock.now()))
+    if (!table_.recordCompletion(fingerprint, environment_.clock.now()))
         return;
     ++stats_.cleared;
     clear(fingerprint);
-    for (const PeerAddress &other : others_.all())
-        send(other, SuspicionCleared{fingerprint});
+    for (const PeerAddress &peer : peers_.all())
+        send(peer, SuspicionCleared{fingerprint});
 }
 
 void QuarantineExchange::clear(const RequestFingerprint &fingerprint)
 {
     log(events::suspicionCleared, fingerprint);
-    toAnnounce_.erase(fingerprint.text());
-    toWrite_.erase(fingerprint.text());
-    if (isKeeperOf(fingerprint))
+    pendingAnnouncements_.erase(fingerprint.text());
+    pendingWrites_.erase(fingerprint.text());
+    if (isOwnerOf(fingerprint))
         remove(fingerprint);
 }
 
@@ -133,41 +134,41 @@
     const auto message = decodeQuarantineMessage(frame);
     if (!message)
         return false;
-    std::visit([&](const auto &each) { on(from, each); }, *message);
+    std::visit([&](const auto &each) { handle(from, each); }, *message);
     return true;
 }
 
-void QuarantineExchange::on(const PeerAddress &from, const SuspicionNotice &notice)
+void QuarantineExchange::handle(const PeerAddress &from, const SuspicionAnnouncement &announcement)
 {
     const Millis now = environment_.clock.now();
-    for (const Suspicion &suspicion : notice.suspicions) {
-        if (book_.isProven(suspicion.fingerprint, now)) {
+    for (const Suspicion &suspicion : announcement.suspicions) {
+        if (table_.hasCompletedRecently(suspicion.fingerprint, now)) {
             // It ran to its end here a moment ago; whoever suspects it does not know.
-            if (suspicion.ended.size() >= SuspectBook::suspectedFrom)
+            if (suspicion.ended.size() >= SuspicionTable::suspectedThreshold)
                 send(from, SuspicionCleared{suspicion.fingerprint});
-        } else if (notice.isReport) {
-            weigh(from, suspicion);
+        } else if (announcement.isReport) {
+            handleReport(from, suspicion);
         } else {
-            take(suspicion);
+            applySuspicion(suspicion);
         }
     }
 }
 
-void QuarantineExchange::weigh(const PeerAddress &from, const Suspicion &suspicion)
+void QuarantineExchange::handleReport(const PeerAddress &from, const Suspicion &suspicion)
 {
-    if (take(suspicion)) {
-        toAnnounce_.insert(suspicion.fingerprint.text());
+    if (applySuspicion(suspicion)) {
+        pendingAnnouncements_.insert(suspicion.fingerprint.text());
         return;
     }
     // Who reports an end under a request that is suspected already may not have heard of that.
-    const auto known = book_.find(suspicion.fingerprint, environment_.clock.now());
+    const auto known = table_.find(suspicion.fingerprint, environment_.clock.now());
     if (known && known->ended.size() > suspicion.ended.size())
-        send(from, SuspicionNotice{false, {*known}});
+        send(from, SuspicionAnnouncement{false, {*known}});
 }
 
-void QuarantineExchange::on(const PeerAddress &, const SuspicionCleared &cleared)
+void QuarantineExchange::handle(const PeerAddress &, const SuspicionCleared &cleared)
 {
-    if (book_.prove(cleared.fingerprint, environment_.clock.now()))
+    if (table_.recordCompletion(cleared.fingerprint, environment_.clock.now()))
         clear(cleared.fingerprint);
 }
 
@@ -175,62 +176,65 @@
 {
     const Millis now = environment_.clock.now();
     announce(now);
-    if (now >= tellAt_) {
-        tellAt_ = now + tellEvery;
-        tellOne();
+    if (now >= antiEntropyAt_) {
+        antiEntropyAt_ = now + antiEntropyInterval;
+        sendAntiEntropy();
     }
-    if (!wasRead_ && !isReading_ && now >= readAt_)
+    if (!isStoreRead_ && !isStoreReadInFlight_ && now >= storeReadAt_)
         readStore(now);
     writeStore(now);
     if (now < expireAt_)
         return;
-    expireAt_ = now + expireEvery;
-    for (const RequestFingerprint &fingerprint : book_.expire(now)) {
-        if (isKeeperOf(fingerprint))
+    expireAt_ = now + expireInterval;
+    for (const RequestFingerprint &fingerprint : table_.expire(now)) {
+        if (isOwnerOf(fingerprint))
             remove(fingerprint);
     }
 }
 
 void QuarantineExchange::announce(Millis now)
 {
-    if (toAnnounce_.empty() || now < announceAt_)
+    if (pendingAnnouncements_.empty() || now < announceAt_)
         return;
-    announceAt_ = now + gather;
-    SuspicionNotice notice;
-    while (!toAnnounce_.empty() && notice.suspicions.size() < toldAtOnce) {
-        const auto fingerprint = RequestFingerprint::fromText(*toAnnounce_.begin());
-        toAnnounce_.erase(toAnnounce_.begin());
-        if (auto suspicion = book_.find(*fingerprint, now))
-            notice.suspicions.push_back(std::move(*suspicion));
+    announceAt_ = now + announceDelay;
+    SuspicionAnnouncement announcement;
+    while (!pendingAnnouncements_.empty() && announcement.suspicions.size() < suspicionsPerRound) {
+        const auto fingerprint = RequestFingerprint::fromText(*pendingAnnouncements_.begin());
+        pendingAnnouncements_.erase(pendingAnnouncements_.begin());
+        if (auto suspicion = table_.find(*fingerprint, now))
+            announcement.suspicions.push_back(std::move(*suspicion));
     }
     if (!guardEnabled(Guard::SuspicionAnnounced))
         return;
-    for (const PeerAddress &other : others_.all())
-        send(other, notice);
+    for (const PeerAddress &peer : peers_.all())
+        send(peer, announcement);
 }
 
-void QuarantineExchange::tellOne()
+void QuarantineExchange::sendAntiEntropy()
 {
-    if (!book_.hasRaised() || !guardEnabled(Guard::SuspicionToldAgain))
+    if (!table_.hasSuspects() || !guardEnabled(Guard::SuspicionToldAgain))
         return;
-    if (const auto one = others_.anyLinked(environment_.random))
-        send(*one, SuspicionNotice{false, book_.nextRaised(toldAtOnce, environment_.clock.now())});
+    if (const auto peer = peers_.anyLinked(environment_.random))
+        send(*peer,
+             SuspicionAnnouncement{
+                 false, table_.nextSuspects(suspicionsPerRound, environment_.clock.now())});
 }
 
 void QuarantineExchange::readStore(Millis now)
 {
-    isReading_ = true;
-    readAt_ = now + readRetry_;
-    readRetry_ = std::min(readRetry_ * 2, longestRetry);
-    environment_.store.list(storePrefix, [this](const StoreReply &reply) { storeRead(reply); });
+    isStoreReadInFlight_ = true;
+    storeReadAt_ = now + storeReadRetryDelay_;
+    storeReadRetryDelay_ = std::min(storeReadRetryDelay_ * 2, maxRetryDelay);
+    environment_.store.list(storePrefix,
+                            [this](const StoreReply &reply) { handleStoreRead(reply); });
 }
 
-void QuarantineExchange::storeRead(const StoreReply &reply)
+void QuarantineExchange::handleStoreRead(const StoreReply &reply)
 {
-    isReading_ = false;
+    isStoreReadInFlight_ = false;
     if (reply.status != StoreStatus::Ok)
         return;
-    wasRead_ = true;
+    isStoreRead_ = true;
     if (!guardEnabled(Guard::QuarantineReadAtStart))
         return;
     for (const StoreObject &object : reply.objects) {
@@ -239,54 +243,54 @@
             environment_.events(Event{&events::quarantineEntryRefused, {{"object", object.path}}});
             continue;
         }
-        take(*suspicion);
-        toWrite_.erase(suspicion->fingerprint.text());
+        applySuspicion(*suspicion);
+        pendingWrites_.erase(suspicion->fingerprint.text());
     }
 }
 
 void QuarantineExchange::writeStore(Millis now)
 {
     std::vector<std::string> due;
-    for (const auto &[text, writing] : toWrite_) {
-        if (!writing.isUnderWay && now >= writing.nextAt)
+    for (const auto &[text, pending] : pendingWrites_) {
+        if (!pending.isInFlight && now >= pending.nextAt)
             due.push_back(text);
     }
     for (const std::string &text : due) {
-        const auto suspicion = book_.find(*RequestFingerprint::fromText(text), now);
+        const auto suspicion = table_.find(*RequestFingerprint::fromText(text), now);
         if (!suspicion) {
-            toWrite_.erase(text);
+            pendingWrites_.erase(text);
             continue;
         }
-        toWrite_[text].isUnderWay = true;
+        pendingWrites_[text].isInFlight = true;
         environment_.store.put(
             StorePut{storePath(text), storedValue(*suspicion), 0},
-            [this, text](const StoreReply &reply) { written(text, reply.status); });
+            [this, text](const StoreReply &reply) { handleStoreWrite(text, reply.status); });
     }
 }
 
-void QuarantineExchange::written(const std::string &fingerprint, StoreStatus status)
+void QuarantineExchange::handleStoreWrite(const std::string &fingerprint, StoreStatus status)
 {
-    const auto entry = toWrite_.find(fingerprint);
-    if (entry == toWrite_.end())
+    const auto entry = pendingWrites_.find(fingerprint);
+    if (entry == pendingWrites_.end())
         return;
     // In a conflict another keeper wrote it, or this one did and did not hear of it.
     if (status == StoreStatus::Ok || status == StoreStatus::Conflict) {
-        toWrite_.erase(entry);
+        pendingWrites_.erase(entry);
         return;
     }
-    Writing &writing = entry->second;
-    writing.isUnderWay = false;
-    writing.nextAt = environment_.clock.now() + writing.retry;
-    writing.retry = std::min(writing.retry * 2, longestRetry);
+    PendingWrite &pending = entry->second;
+    pending.isInFlight = false;
+    pending.nextAt = environment_.clock.now() + pending.retryDelay;
+    pending.retryDelay = std::min(pending.retryDelay * 2, maxRetryDelay);
 }
 
 void QuarantineExchange::remove(const RequestFingerprint &fingerprint)
 {
     environment_.store.remove(storePath(fingerprint.text()), std::nullopt,
                               [this, fingerprint](const StoreReply &reply) {
-                                  const bool isGone = reply.status == StoreStatus::Ok
+                                  const bool isRemoved = reply.status == StoreStatus::Ok
                                       || reply.status == StoreStatus::NotFound;
-                                  if (!isGone)
+                                  if (!isRemoved)
                                       log(events::quarantineNotRemoved, fingerprint);
                               });
 }
--- a/modules/quarantine/exchange/QuarantineExchange.h
+++ b/modules/quarantine/exchange/QuarantineExchange.h
@@ -45,16 +45,16 @@
 class QuarantineExchange
 {
 public:
-    static constexpr std::size_t keepersEach = 3;
-    static constexpr Millis tellEvery = Millis(1000);
-    static constexpr std::size_t toldAtOnce = 32;
+    static constexpr std::size_t ownersPerRequest = 3;
+    static constexpr Millis antiEntropyInterval = Millis(1000);
+    static constexpr std::size_t suspicionsPerRound = 32;
     /** What is to be announced is gathered for so long. */
-    static constexpr Millis gather = Millis(20);
+    static constexpr Millis announceDelay = Millis(20);
     /** Instances that start together read the store spread over this. */
-    static constexpr Millis readSpread = Millis(1000);
-    static constexpr Millis firstRetry = Millis(1000);
-    static constexpr Millis longestRetry = Millis::seconds(16);
-    static constexpr Millis expireEvery = Millis::seconds(60);
+    static constexpr Millis storeReadJitter = Millis(1000);
+    static constexpr Millis initialRetryDelay = Millis(1000);
+    static constexpr Millis maxRetryDelay = Millis::seconds(16);
+    static constexpr Millis expireInterval = Millis::seconds(60);
 
     struct Environment
     {
@@ -73,20 +73,20 @@
      */
     void setLinkCheck(std::function<bool(const PeerAddress &)> isLinked)
     {
-        others_.isLinked = std::move(isLinked);
+        peers_.isLinked = std::move(isLinked);
     }
 
     SuspicionLevel level(const RequestFingerprint &fingerprint) const
     {
-        return book_.level(fingerprint, environment_.clock.now());
+        return table_.level(fingerprint, environment_.clock.now());
     }
     /** Returns how much longer the request is not run; nothing if it may be. */
     std::optional<Millis> quarantineLeft(const RequestFingerprint &fingerprint) const;
     /** Whether any request is suspected; else no fingerprint needs to be worked out. */
-    bool hasSuspects() const { return book_.hasRaised(); }
+    bool hasSuspects() const { return table_.hasSuspects(); }
 
     /** An upstream ended while it had the request. */
-    void upstreamEnded(const RequestFingerprint &fingerprint, UpstreamLife life);
+    void upstreamEnded(const RequestFingerprint &fingerprint, UpstreamLife incarnation);
     /** An upstream answered the request whole, and so lives. */
     void ranToItsEnd(const RequestFingerprint &fingerprint);
 
@@ -96,48 +96,48 @@
     void tick();
 
     const QuarantineStats &stats() const { return stats_; }
-    const SuspectBook &book() const { return book_; }
+    const SuspicionTable &book() const { return table_; }
 
 private:
     /** A call to the store that is made again until it took effect. */
-    struct Writing
+    struct PendingWrite
     {
         Millis nextAt;
-        Millis retry = firstRetry;
-        bool isUnderWay = false;
+        Millis retryDelay = initialRetryDelay;
+        bool isInFlight = false;
     };
 
-    void on(const PeerAddress &from, const SuspicionNotice &notice);
-    void on(const PeerAddress &from, const SuspicionCleared &cleared);
+    void handle(const PeerAddress &from, const SuspicionAnnouncement &announcement);
+    void handle(const PeerAddress &from, const SuspicionCleared &cleared);
     /** Takes in what is told. Returns true if the request's level rose. */
-    bool take(const Suspicion &suspicion);
-    void weigh(const PeerAddress &from, const Suspicion &suspicion);
+    bool applySuspicion(const Suspicion &suspicion);
+    void handleReport(const PeerAddress &from, const Suspicion &suspicion);
     void clear(const RequestFingerprint &fingerprint);
-    bool isKeeperOf(const RequestFingerprint &fingerprint) const;
-    std::vector<PeerAddress> keepersOf(const RequestFingerprint &fingerprint) const;
+    bool isOwnerOf(const RequestFingerprint &fingerprint) const;
+    std::vector<PeerAddress> ownersOf(const RequestFingerprint &fingerprint) const;
     void announce(Millis now);
-    void tellOne();
+    void sendAntiEntropy();
     void readStore(Millis now);
-    void storeRead(const StoreReply &reply);
+    void handleStoreRead(const StoreReply &reply);
     void writeStore(Millis now);
-    void written(const std::string &fingerprint, StoreStatus status);
+    void handleStoreWrite(const std::string &fingerprint, StoreStatus status);
     void remove(const RequestFingerprint &fingerprint);
     void send(const PeerAddress &to, const QuarantineMessage &message);
     void log(const EventKind &kind, const RequestFingerprint &fingerprint) const;
 
     Environment environment_;
-    SuspectBook book_;
-    KeeperRanking keepers_;
-    PeerRoster others_;
-    std::set<std::string> toAnnounce_;
-    std::map<std::string, Writing> toWrite_;
+    SuspicionTable table_;
+    OwnerRanking owners_;
+    PeerDirectory peers_;
+    std::set<std::string> pendingAnnouncements_;
+    std::map<std::string, PendingWrite> pendingWrites_;
     Millis announceAt_;
-    Millis tellAt_;
+    Millis antiEntropyAt_;
     Millis expireAt_;
-    Millis readAt_;
-    Millis readRetry_ = firstRetry;
-    bool isReading_ = false;
-    bool wasRead_ = false;
+    Millis storeReadAt_;
+    Millis storeReadRetryDelay_ = initialRetryDelay;
+    bool isStoreReadInFlight_ = false;
+    bool isStoreRead_ = false;
     QuarantineStats stats_;
 };
 
--- a/modules/quarantine/exchange/QuarantineExchange_test.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange_test.cpp
@@ -7,37 +7,37 @@
 
 namespace {
 
-RequestFingerprint asked(const std::string &what)
+RequestFingerprint fingerprintOf(const std::string &what)
 {
     return RequestFingerprint::of("north", "/safe/" + what, "body");
 }
 
-const RequestFingerprint fatal = asked("fatal");
+const RequestFingerprint fatal = fingerprintOf("fatal");
 
 /** Lets callers send for a while: one fatal request a second at any instance, others beside. */
-void play(QuarantineCluster &cluster, int seconds)
+void sendTraffic(QuarantineCluster &cluster, int seconds)
 {
     constexpr int stepsEach = 20;
     for (int i = 0; i < seconds * stepsEach; ++i) {
-        cluster.pass(Millis(1000 / stepsEach));
-        cluster.request(cluster.pick(cluster.count()), asked(std::to_string(cluster.pick(1 << 30))),
-                        false);
+        cluster.advance(Millis(1000 / stepsEach));
+        cluster.request(cluster.pick(cluster.count()),
+                        fingerprintOf(std::to_string(cluster.pick(1 << 30))), false);
         if (cluster.pick(stepsEach) == 0)
             cluster.request(cluster.pick(cluster.count()), fatal, true);
     }
 }
 
 /** What happens to the cluster after a while of callers' sending, and again later. */
-using Trouble = std::function<void(QuarantineCluster &)>;
+using Fault = std::function<void(QuarantineCluster &)>;
 
-void nothing(QuarantineCluster &)
+void noFault(QuarantineCluster &)
 { }
 
 void killAll(QuarantineCluster &cluster)
 {
     for (int i = 0; i < cluster.count(); ++i)
         cluster.kill(i);
-    cluster.pass(Millis(1500));
+    cluster.advance(Millis(1500));
     for (int i = 0; i < cluster.count(); ++i)
         cluster.restart(i);
 }
@@ -46,21 +46,21 @@
 {
     for (int i = 0; i < cluster.count(); i += 2) {
         cluster.kill(i);
-        cluster.pass(Millis(100));
+        cluster.advance(Millis(100));
         cluster.restart(i);
     }
 }
 
-void cutOne(QuarantineCluster &cluster)
+void isolateOne(QuarantineCluster &cluster)
 {
-    const int one = cluster.pick(cluster.count());
-    cluster.isCut = [one](int from, int to) { return from == one || to == one; };
+    const int isolated = cluster.pick(cluster.count());
+    cluster.isCut = [isolated](int from, int to) { return from == isolated || to == isolated; };
     for (int i = 0; i < 4; ++i) {
-        cluster.disturb(one);
-        cluster.pass(Millis(1000));
+        cluster.disturb(isolated);
+        cluster.advance(Millis(1000));
     }
     cluster.isCut = [](int, int) { return false; };
-    cluster.disturb(one);
+    cluster.disturb(isolated);
 }
 
 void loseFrames(QuarantineCluster &cluster)
@@ -68,7 +68,7 @@
     cluster.lossPercent = 30;
 }
 
-void storeDown(QuarantineCluster &cluster)
+void toggleStore(QuarantineCluster &cluster)
 {
     cluster.isStoreDown = !cluster.isStoreDown;
 }
@@ -77,7 +77,7 @@
 {
     for (int i = 0; i < cluster.count(); i += 3)
         cluster.frozen.insert(i);
-    cluster.pass(Millis(2000));
+    cluster.advance(Millis(2000));
     for (const int i : cluster.frozen)
         cluster.disturb(i);
     cluster.frozen.clear();
@@ -91,12 +91,12 @@
     struct Row
     {
         const char *name;
-        Trouble trouble;
+        Fault fault;
     };
     for (const Row &row :
-         {Row{"nothing", nothing}, Row{"all killed", killAll}, Row{"killed in turn", killInTurn},
-          Row{"one cut off", cutOne}, Row{"frames lost", loseFrames}, Row{"store down", storeDown},
-          Row{"some frozen", freezeSome}}) {
+         {Row{"nothing", noFault}, Row{"all killed", killAll}, Row{"killed in turn", killInTurn},
+          Row{"one cut off", isolateOne}, Row{"frames lost", loseFrames},
+          Row{"store down", toggleStore}, Row{"some frozen", freezeSome}}) {
         for (const int instances : {1, 6, 60}) {
             for (std::uint64_t seed = 1; seed <= 6; ++seed) {
                 CAPTURE(std::string(row.name));
@@ -104,12 +104,12 @@
                 CAPTURE(seed);
                 QuarantineCluster cluster(instances, 12, seed);
                 cluster.attempts = seed % 2 == 0 ? 1 : 2;
-                row.trouble(cluster);
-                play(cluster, 12);
-                row.trouble(cluster);
-                play(cluster, 25);
+                row.fault(cluster);
+                sendTraffic(cluster, 12);
+                row.fault(cluster);
+                sendTraffic(cluster, 25);
                 CHECK(cluster.lateSends <= 3);
-                CHECK(cluster.endsUnder(fatal) >= SuspectBook::quarantinedFrom);
+                CHECK(cluster.endsUnder(fatal) >= SuspicionTable::quarantinedThreshold);
                 CHECK(cluster.refused > 0);
             }
         }
@@ -120,22 +120,23 @@
 TEST_CASE("instances that were away know what is quarantined soon after")
 {
     const auto quarantine = [](QuarantineCluster &cluster) {
-        for (UpstreamLife life = 1; life <= SuspectBook::quarantinedFrom; ++life)
-            cluster.at(1).upstreamEnded(fatal, life);
-        cluster.pass(Millis(100));
+        for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+             ++incarnation)
+            cluster.at(1).upstreamEnded(fatal, incarnation);
+        cluster.advance(Millis(100));
     };
     QuarantineCluster cut(6, 12, 1);
     cut.isCut = [](int from, int to) { return from == 0 || to == 0; };
     quarantine(cut);
     CHECK(cut.at(0).level(fatal) == SuspicionLevel::None);
     cut.isCut = [](int, int) { return false; };
-    cut.pass(Millis(3000));
+    cut.advance(Millis(3000));
     CHECK(cut.at(0).level(fatal) == SuspicionLevel::Quarantined);
 
     QuarantineCluster killed(6, 12, 1);
     quarantine(killed);
     killAll(killed);
-    killed.pass(QuarantineExchange::readSpread);
+    killed.advance(QuarantineExchange::storeReadJitter);
     for (int i = 0; i < killed.count(); ++i)
         CHECK(killed.at(i).level(fatal) == SuspicionLevel::Quarantined);
 }
@@ -148,7 +149,7 @@
         QuarantineCluster cluster(60, 60, seed);
         for (int i = 0; i < 200; ++i) {
             cluster.request(cluster.pick(60), fatal, true);
-            cluster.pass(Millis(50));
+            cluster.advance(Millis(50));
         }
         CHECK(cluster.endsUnder(fatal) <= 8);
         CHECK(cluster.refused >= 190);
@@ -158,20 +159,20 @@
 // Guards against engines that fail by themselves and get what many callers ask for refused.
 TEST_CASE("what many callers ask for stays in service when engines fail by themselves")
 {
-    const auto popular = asked("popular");
+    const auto popular = fingerprintOf("popular");
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
         QuarantineCluster cluster(60, 30, seed);
         for (int i = 0; i < 1500; ++i) {
             cluster.request(cluster.pick(60), popular, false);
-            cluster.pass(Millis(20));
+            cluster.advance(Millis(20));
             if (i % 50 == 49)
                 continue;
             if (const auto engine = cluster.engineRunning(popular); engine && i % 25 == 0)
                 cluster.endEngine(*engine);
         }
-        cluster.pass(Millis(1000));
-        CHECK(cluster.endsUnder(popular) >= SuspectBook::quarantinedFrom);
+        cluster.advance(Millis(1000));
+        CHECK(cluster.endsUnder(popular) >= SuspicionTable::quarantinedThreshold);
         CHECK(cluster.refused == 0);
         CHECK(cluster.store.empty());
     }
@@ -183,13 +184,14 @@
     QuarantineCluster cluster(6, 12, 1);
     // Under way when the request is quarantined.
     cluster.request(0, fatal, false);
-    for (UpstreamLife life = 1; life <= SuspectBook::quarantinedFrom; ++life)
-        cluster.at(1).upstreamEnded(fatal, life);
-    cluster.pass(Millis(30));
+    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+         ++incarnation)
+        cluster.at(1).upstreamEnded(fatal, incarnation);
+    cluster.advance(Millis(30));
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).level(fatal) == SuspicionLevel::Quarantined);
     CHECK(cluster.store.size() == 1);
-    cluster.pass(Millis(200));
+    cluster.advance(Millis(200));
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).level(fatal) == SuspicionLevel::None);
     CHECK(cluster.store.empty());
@@ -198,14 +200,15 @@
 TEST_CASE("a quarantine is over after its time, and callers are told when")
 {
     QuarantineCluster cluster(1, 12, 1);
-    for (UpstreamLife life = 1; life <= SuspectBook::quarantinedFrom; ++life)
-        cluster.at(0).upstreamEnded(fatal, life);
-    cluster.pass(Millis(100));
-    CHECK(cluster.at(0).quarantineLeft(fatal) == SuspectBook::keptFor - Millis(100));
+    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+         ++incarnation)
+        cluster.at(0).upstreamEnded(fatal, incarnation);
+    cluster.advance(Millis(100));
+    CHECK(cluster.at(0).quarantineLeft(fatal) == SuspicionTable::retention - Millis(100));
     CHECK(cluster.store.size() == 1);
-    cluster.now = cluster.now + SuspectBook::keptFor;
+    cluster.now = cluster.now + SuspicionTable::retention;
     CHECK_FALSE(cluster.at(0).quarantineLeft(fatal));
-    cluster.pass(QuarantineExchange::expireEvery);
+    cluster.advance(QuarantineExchange::expireInterval);
     CHECK(cluster.store.empty());
 }
 
@@ -213,15 +216,16 @@
 TEST_CASE("entries of the store that cannot be read are passed over")
 {
     QuarantineCluster cluster(1, 12, 1);
-    for (UpstreamLife life = 1; life <= SuspectBook::quarantinedFrom; ++life)
-        cluster.at(0).upstreamEnded(fatal, life);
-    cluster.pass(Millis(100));
+    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+         ++incarnation)
+        cluster.at(0).upstreamEnded(fatal, incarnation);
+    cluster.advance(Millis(100));
     for (const char *bad :
          {"", "[]", "{}", "{\"ended\":7}", "{\"ended\":[-1]}", "{\"ended\":[\"x\"]}"})
-        cluster.store["quarantine/" + asked(bad).text()] = bad;
+        cluster.store["quarantine/" + fingerprintOf(bad).text()] = bad;
     cluster.store["quarantine/short"] = "{\"ended\":[1,2,3]}";
     killAll(cluster);
-    cluster.pass(Millis(1500));
+    cluster.advance(Millis(1500));
     CHECK(cluster.at(0).quarantineLeft(fatal));
     CHECK(cluster.at(0).book().raisedCount() == 1);
 }
--- a/modules/quarantine/fingerprint/RequestFingerprint_test.cpp
+++ b/modules/quarantine/fingerprint/RequestFingerprint_test.cpp
@@ -8,8 +8,8 @@
 TEST_CASE(
     "a fingerprint differs when customer, path or body do, also where their joined text is one")
 {
-    const auto asked = RequestFingerprint::of("north", "/safe/x", "body");
-    CHECK(asked == RequestFingerprint::of("north", "/safe/x", "body"));
+    const auto fingerprint = RequestFingerprint::of("north", "/safe/x", "body");
+    CHECK(fingerprint == RequestFingerprint::of("north", "/safe/x", "body"));
     struct Row
     {
         const char *customer;
@@ -22,19 +22,19 @@
         CAPTURE(row.customer);
         CAPTURE(row.target);
         CAPTURE(row.body);
-        CHECK_FALSE(asked == RequestFingerprint::of(row.customer, row.target, row.body));
+        CHECK_FALSE(fingerprint == RequestFingerprint::of(row.customer, row.target, row.body));
     }
 }
 
 TEST_CASE("a fingerprint is read back from its text, and from nothing else")
 {
-    const auto asked = RequestFingerprint::of("north", "/safe/x", "body");
-    const auto read = RequestFingerprint::fromText(asked.text());
+    const auto fingerprint = RequestFingerprint::of("north", "/safe/x", "body");
+    const auto read = RequestFingerprint::fromText(fingerprint.text());
     REQUIRE(read);
-    CHECK(*read == asked);
+    CHECK(*read == fingerprint);
     for (const std::string &text :
          {std::string(), std::string("abc"), std::string(RequestFingerprint::digits, 'g'),
-          std::string(RequestFingerprint::digits, 'A'), asked.text() + "0"}) {
+          std::string(RequestFingerprint::digits, 'A'), fingerprint.text() + "0"}) {
         CAPTURE(text);
         CHECK_FALSE(RequestFingerprint::fromText(text));
     }
--- a/modules/quarantine/messages/QuarantineMessages.cpp
+++ b/modules/quarantine/messages/QuarantineMessages.cpp
@@ -12,16 +12,16 @@
 using Limits = QuarantineMessageLimits;
 
 /** The first element of each frame: format and kind. Another format is refused whole. */
-enum class Tag : std::uint8_t { Notice = 0x51, Cleared = 0x52 };
+enum class Tag : std::uint8_t { Announcement = 0x51, Cleared = 0x52 };
 
-json encode(const SuspicionNotice &notice)
+json encode(const SuspicionAnnouncement &announcement)
 {
     json suspicions = json::array();
-    for (const Suspicion &each : notice.suspicions)
+    for (const Suspicion &each : announcement.suspicions)
         suspicions.push_back(json::array(
             {each.fingerprint.text(), each.ended,
-             static_cast<std::uint64_t>(std::max<std::int64_t>(0, each.left.count()))}));
-    return json::array({Tag::Notice, notice.isReport, std::move(suspicions)});
+             static_cast<std::uint64_t>(std::max<std::int64_t>(0, each.remaining.count()))}));
+    return json::array({Tag::Announcement, announcement.isReport, std::move(suspicions)});
 }
 
 json encode(const SuspicionCleared &cleared)
@@ -29,36 +29,36 @@
     return json::array({Tag::Cleared, cleared.fingerprint.text()});
 }
 
-std::optional<Suspicion> takeSuspicion(const json &value)
+std::optional<Suspicion> decodeSuspicion(const json &value)
 {
     CborArray elements(value);
     const auto fingerprint =
         RequestFingerprint::fromText(elements.name(RequestFingerprint::digits));
-    const json &lives = elements.list(SuspectBook::mostEnds);
-    const std::uint64_t left = elements.number(SuspectBook::keptFor.count());
-    if (!fingerprint || !elements.isWhole() || lives.empty())
+    const json &incarnations = elements.list(SuspicionTable::maxEnded);
+    const std::uint64_t remaining = elements.number(SuspicionTable::retention.count());
+    if (!fingerprint || !elements.isWhole() || incarnations.empty())
         return std::nullopt;
-    Suspicion suspicion{*fingerprint, {}, Millis(static_cast<std::int64_t>(left))};
-    CborArray ended(lives);
-    for (std::size_t i = 0; i < lives.size(); ++i)
+    Suspicion suspicion{*fingerprint, {}, Millis(static_cast<std::int64_t>(remaining))};
+    CborArray ended(incarnations);
+    for (std::size_t i = 0; i < incarnations.size(); ++i)
         suspicion.ended.push_back(ended.number());
     return ended.isWhole() ? std::optional<Suspicion>(std::move(suspicion)) : std::nullopt;
 }
 
-std::optional<QuarantineMessage> takeNotice(CborArray &message)
+std::optional<QuarantineMessage> decodeAnnouncement(CborArray &message)
 {
-    SuspicionNotice notice;
-    notice.isReport = message.boolean();
+    SuspicionAnnouncement announcement;
+    announcement.isReport = message.boolean();
     for (const json &each : message.list(Limits::suspicions)) {
-        auto suspicion = takeSuspicion(each);
+        auto suspicion = decodeSuspicion(each);
         if (!suspicion)
             return std::nullopt;
-        notice.suspicions.push_back(std::move(*suspicion));
+        announcement.suspicions.push_back(std::move(*suspicion));
     }
-    return notice;
+    return announcement;
 }
 
-std::optional<QuarantineMessage> takeCleared(CborArray &message)
+std::optional<QuarantineMessage> decodeCleared(CborArray &message)
 {
     const auto fingerprint = RequestFingerprint::fromText(message.name(RequestFingerprint::digits));
     if (!fingerprint)
@@ -66,13 +66,13 @@
     return SuspicionCleared{*fingerprint};
 }
 
-std::optional<QuarantineMessage> take(CborArray &message)
+std::optional<QuarantineMessage> decodeMessage(CborArray &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
-    case Tag::Notice:
-        return takeNotice(message);
+    case Tag::Announcement:
+        return decodeAnnouncement(message);
     case Tag::Cleared:
-        return takeCleared(message);
+        return decodeCleared(message);
     }
     return std::nullopt;
 }
@@ -86,7 +86,7 @@
 
 std::optional<QuarantineMessage> decodeQuarantineMessage(const std::string &frame)
 {
-    return decodeFrame(frame, take);
+    return decodeFrame(frame, decodeMessage);
 }
 
 } // namespace cuminrail
--- a/modules/quarantine/messages/QuarantineMessages.h
+++ b/modules/quarantine/messages/QuarantineMessages.h
@@ -10,7 +10,7 @@
 namespace cuminrail {
 
 /** "Upstreams ended under these requests." */
-struct SuspicionNotice
+struct SuspicionAnnouncement
 {
     /** The sender saw it itself: the receiver is to weigh it and to tell all of what follows. */
     bool isReport = false;
@@ -23,7 +23,7 @@
     RequestFingerprint fingerprint;
 };
 
-using QuarantineMessage = std::variant<SuspicionNotice, SuspicionCleared>;
+using QuarantineMessage = std::variant<SuspicionAnnouncement, SuspicionCleared>;
 
 /** Bounds on what a message may hold. */
 struct QuarantineMessageLimits
--- a/modules/quarantine/messages/QuarantineMessages_test.cpp
+++ b/modules/quarantine/messages/QuarantineMessages_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-RequestFingerprint asked()
+RequestFingerprint fingerprint()
 {
     return RequestFingerprint::of("north", "/safe/x", "body");
 }
@@ -16,33 +16,33 @@
 
 TEST_CASE("each message of the quarantine reads back as it was written")
 {
-    const SuspicionNotice notice{true,
-                                 {{asked(), {7, 8}, Millis(4000)}, {asked(), {9}, Millis(5)}}};
-    const auto read = decodeQuarantineMessage(encodeQuarantineMessage(notice));
+    const SuspicionAnnouncement announcement{
+        true, {{fingerprint(), {7, 8}, Millis(4000)}, {fingerprint(), {9}, Millis(5)}}};
+    const auto read = decodeQuarantineMessage(encodeQuarantineMessage(announcement));
     REQUIRE(read);
-    const auto &same = std::get<SuspicionNotice>(*read);
+    const auto &same = std::get<SuspicionAnnouncement>(*read);
     CHECK(same.isReport);
     REQUIRE(same.suspicions.size() == 2);
-    CHECK(same.suspicions[0].fingerprint == asked());
+    CHECK(same.suspicions[0].fingerprint == fingerprint());
     CHECK(same.suspicions[0].ended == std::vector<UpstreamLife>{7, 8});
-    CHECK(same.suspicions[0].left == Millis(4000));
+    CHECK(same.suspicions[0].remaining == Millis(4000));
     const auto cleared =
-        decodeQuarantineMessage(encodeQuarantineMessage(SuspicionCleared{asked()}));
+        decodeQuarantineMessage(encodeQuarantineMessage(SuspicionCleared{fingerprint()}));
     REQUIRE(cleared);
-    CHECK(std::get<SuspicionCleared>(*cleared).fingerprint == asked());
+    CHECK(std::get<SuspicionCleared>(*cleared).fingerprint == fingerprint());
 }
 
 // Guards against frames cut short, of other formats or out of bounds that quarantine a request.
 TEST_CASE("what is no whole message of the quarantine is refused")
 {
     using nlohmann::json;
-    const std::string text = asked().text();
-    const std::string good =
-        encodeQuarantineMessage(SuspicionNotice{false, {{asked(), {7, 8, 9}, Millis(4000)}}});
+    const std::string text = fingerprint().text();
+    const std::string good = encodeQuarantineMessage(
+        SuspicionAnnouncement{false, {{fingerprint(), {7, 8, 9}, Millis(4000)}}});
     for (std::size_t length = 0; length < good.size(); ++length)
         CHECK_FALSE(decodeQuarantineMessage(good.substr(0, length)));
     CHECK_FALSE(decodeQuarantineMessage(good + "x"));
-    const std::uint64_t tooLong = SuspectBook::keptFor.count() + 1;
+    const std::uint64_t tooLong = SuspicionTable::retention.count() + 1;
     for (const json &bad :
          {json::array({0x51, false, json::array({json::array({text, json::array(), 5})})}),
           json::array({0x51, false, json::array({json::array({text, {1, 2, 3, 4}, 5})})}),
--- a/modules/quarantine/testing/QuarantineCluster.h
+++ b/modules/quarantine/testing/QuarantineCluster.h
@@ -28,7 +28,7 @@
     {
         for (int i = 0; i < instances; ++i)
             start(i, instances);
-        pass(Millis::seconds(3));
+        advance(Millis::seconds(3));
     }
 
     int count() const { return static_cast<int>(instances_.size()); }
@@ -50,17 +50,17 @@
     void disturb(int i) { disturbedAt_[i] = now; }
 
     /** A caller's request arrives at an instance. */
-    void request(int i, const RequestFingerprint &asked, bool isFatal)
+    void request(int i, const RequestFingerprint &fingerprint, bool isFatal)
     {
         if (!isRunning(i))
             return;
-        if (at(i).quarantineLeft(asked))
+        if (at(i).quarantineLeft(fingerprint))
             ++refused;
         else
-            send({i, asked, isFatal, 1});
+            send({i, fingerprint, isFatal, 1});
     }
 
-    void pass(Millis span)
+    void advance(Millis span)
     {
         const Millis end = now + span;
         while (now < end) {
@@ -79,19 +79,19 @@
     /** An engine ends by itself, with all that runs there. */
     void endEngine(std::size_t engine) { crash(engine); }
     /** Returns an engine that runs at least one request that asks this, or nothing. */
-    std::optional<std::size_t> engineRunning(const RequestFingerprint &asked) const
+    std::optional<std::size_t> engineRunning(const RequestFingerprint &fingerprint) const
     {
         for (const Run &run : runs_) {
-            if (run.request.asked == asked)
+            if (run.request.fingerprint == fingerprint)
                 return run.engine;
         }
         return std::nullopt;
     }
 
     /** Ends of engines under requests that ask this. */
-    std::size_t endsUnder(const RequestFingerprint &asked) const
+    std::size_t endsUnder(const RequestFingerprint &fingerprint) const
     {
-        const auto found = ends_.find(asked);
+        const auto found = ends_.find(fingerprint);
         return found == ends_.end() ? 0 : found->second.size();
     }
 
@@ -108,13 +108,13 @@
 
 private:
     static constexpr Millis step = Millis(5);
-    static constexpr Millis engineStarts = Millis(4000);
-    static constexpr Millis toldWithin = Millis(3000);
+    static constexpr Millis engineRestartTime = Millis(4000);
+    static constexpr Millis propagationTime = Millis(3000);
 
     struct Request
     {
         int instance = 0;
-        RequestFingerprint asked;
+        RequestFingerprint fingerprint;
         bool isFatal = false;
         int attempt = 1;
     };
@@ -122,11 +122,11 @@
     {
         Request request;
         std::size_t engine = 0;
-        Millis until;
+        Millis endsAt;
     };
     struct Engine
     {
-        UpstreamLife life = 1;
+        UpstreamLife incarnation = 1;
         Millis downUntil;
     };
 
@@ -173,49 +173,50 @@
         return port;
     }
 
-    bool isInTouch(int i) const
+    bool isConnected(int i) const
     {
         const auto found = disturbedAt_.find(i);
-        return found == disturbedAt_.end() || now - found->second > toldWithin;
+        return found == disturbedAt_.end() || now - found->second > propagationTime;
     }
 
     void send(Request request)
     {
-        std::vector<std::size_t> up;
+        std::vector<std::size_t> running;
         for (std::size_t engine = 0; engine < engines_.size(); ++engine) {
             if (now >= engines_[engine].downUntil)
-                up.push_back(engine);
+                running.push_back(engine);
         }
-        if (up.empty()) {
+        if (running.empty()) {
             ++failed;
             return;
         }
-        const auto &ends = ends_[request.asked];
-        if (ends.size() >= SuspectBook::quarantinedFrom && isInTouch(request.instance)
-            && now - ends[SuspectBook::quarantinedFrom - 1] > toldWithin)
+        const auto &ends = ends_[request.fingerprint];
+        if (ends.size() >= SuspicionTable::quarantinedThreshold && isConnected(request.instance)
+            && now - ends[SuspicionTable::quarantinedThreshold - 1] > propagationTime)
             ++lateSends;
-        const std::size_t engine = up[static_cast<std::size_t>(pick(static_cast<int>(up.size())))];
+        const std::size_t engine =
+            running[static_cast<std::size_t>(pick(static_cast<int>(running.size())))];
         runs_.push_back({std::move(request), engine, now + Millis(40 + pick(60))});
     }
 
     void endRuns()
     {
         std::set<std::size_t> fatal;
-        std::vector<Request> whole;
-        const auto isOver = [&](const Run &run) {
-            if (run.until > now)
+        std::vector<Request> completed;
+        const auto isFinished = [&](const Run &run) {
+            if (run.endsAt > now)
                 return false;
             if (run.request.isFatal)
                 fatal.insert(run.engine);
             else
-                whole.push_back(run.request);
+                completed.push_back(run.request);
             return !run.request.isFatal;
         };
-        runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isOver), runs_.end());
-        for (const Request &request : whole) {
+        runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isFinished), runs_.end());
+        for (const Request &request : completed) {
             ++served;
             if (isRunning(request.instance))
-                at(request.instance).ranToItsEnd(request.asked);
+                at(request.instance).ranToItsEnd(request.fingerprint);
         }
         for (const std::size_t engine : fatal)
             crash(engine);
@@ -223,34 +224,35 @@
 
     void crash(std::size_t engine)
     {
-        std::vector<Request> cut;
+        std::vector<Request> interrupted;
         const auto isHere = [&](const Run &run) {
             if (run.engine == engine)
-                cut.push_back(run.request);
+                interrupted.push_back(run.request);
             return run.engine == engine;
         };
         runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isHere), runs_.end());
-        const UpstreamLife life = engine * lifeBase + engines_[engine].life++;
-        engines_[engine].downUntil = now + engineStarts;
-        for (const Request &request : cut)
-            ends_[request.asked].push_back(now);
-        for (Request &request : cut)
-            endedUnder(std::move(request), life);
+        const UpstreamLife incarnation = engine * incarnationBase + engines_[engine].incarnation++;
+        engines_[engine].downUntil = now + engineRestartTime;
+        for (const Request &request : interrupted)
+            ends_[request.fingerprint].push_back(now);
+        for (Request &request : interrupted)
+            handleEnd(std::move(request), incarnation);
     }
 
-    void endedUnder(Request request, UpstreamLife life)
+    void handleEnd(Request request, UpstreamLife incarnation)
     {
         const int i = request.instance;
         if (!isRunning(i))
             return;
-        at(i).upstreamEnded(request.asked, life);
-        if (request.attempt++ < attempts && at(i).level(request.asked) < SuspicionLevel::Suspected)
+        at(i).upstreamEnded(request.fingerprint, incarnation);
+        if (request.attempt++ < attempts
+            && at(i).level(request.fingerprint) < SuspicionLevel::Suspected)
             send(std::move(request));
         else
             ++failed;
     }
 
-    static constexpr UpstreamLife lifeBase = 1000000;
+    static constexpr UpstreamLife incarnationBase = 1000000;
 
     std::vector<std::unique_ptr<QuarantineExchange>> instances_;
     std::vector<Engine> engines_;
--- a/modules/quotas/book/QuotaBook.h
+++ b/modules/quotas/book/QuotaBook.h
@@ -10,75 +10,78 @@
 
 namespace cuminrail {
 
-/** Customers' quotas by name; customers without one are not in it. */
+/** Quotas by customer name. Customers without a quota have no entry. */
 using QuotaTable = std::map<std::string, CustomerQuota>;
 
-/** What a keeper says to a request. */
-struct QuotaOffer
+/** An owner's decision on a request. */
+struct QuotaDecision
 {
     bool isGranted = false;
-    /** When the bucket will hold the request; not set for one that it never will. */
+    /** When the bucket can cover the request; not set for a request that it can never cover. */
     std::optional<Millis> comeBackAfter;
-    /** What the bucket holds after this, in the quota's unit; below zero while it is in debt. */
+    /** Bucket level after this decision, in the quota's unit; negative while it is in debt. */
     double level = 0;
 };
 
 /**
-    The buckets of the customers that one instance keeps.
+        Token buckets of the customers that one instance owns.
 
-    Load: a customer sends many times its quota, in requests of a hundred to ninety thousand tokens.
-    A bucket that holds something grants a request of any size within a bounded debt, which is paid
-    back before the next one. Long prompts are so refused as often as short ones; were a request to
-    wait until the bucket holds all of it, short ones would drain it first for ever.
+    Expected load: a customer sends many times its quota, in requests of a hundred to ninety
+    thousand tokens. A bucket with a positive level grants a request of any size that leaves it
+    within a bounded debt; the debt is refilled before the next grant. Long prompts are therefore
+    refused no more often than short ones. If a request had to wait until the bucket covers its
+    whole cost, short requests would keep draining the bucket and long ones would starve.
+
+    In each window a quota allows its rate and its burst, plus a tolerance. Bucket depth, refill in
+    one window and one debt together stay below this sum, so a request that the window still allows
+    is not refused for long. New buckets, and use that instances grant locally without a query,
+    have shares of the tolerance of their own.
 
-    A quota allows its rate and its burst in each window, and a tolerance above that. What a bucket
-    holds at most, what it gains in a window and one debt stay together below this sum, so nothing
-    that a window still allows is refused for long. Buckets that begin anew, and what instances use
-    without having asked, have parts of the tolerance of their own.
 */
-class QuotaBook
+class QuotaLedger
 {
 public:
-    /** Parts of the tolerance. */
+    /** Shares of the tolerance. */
     static constexpr double depthShare = 0.1;
     static constexpr double debtShare = 0.3;
-    /** A bucket that began anew within the window: the former one's debt is not paid back. */
-    static constexpr double youngDebtShare = 0.05;
-    static constexpr double freshShare = 0.05;
-    static constexpr double unaskedShare = 0.1;
-    /** Part of the burst that a bucket holds at once; it gains the rest in each window. */
-    static constexpr double burstHeld = 0.25;
-    /** A stand-in holds back for so long: the keeper that it stands in for may still grant. */
-    static constexpr Millis standInHoldsBack = Millis(6000);
-    static constexpr double heldBackRate = 0.5;
-    /** With fewer of the instances in reach, others may have chosen another keeper. */
-    static constexpr double fullReach = 0.8;
-    /** Refused requests are told to come back one after another, up to so far ahead. */
-    static constexpr Millis promisedMost = Millis::seconds(4);
-
-    explicit QuotaBook(QuotaTolerance tolerance) : tolerance_(tolerance) { }
-
-    /** Takes effect at once. Buckets of customers without a quota go. */
+    /** For a bucket created within the window: its predecessor's debt has not been paid back. */
+    static constexpr double newBucketDebtShare = 0.05;
+    static constexpr double initialShare = 0.05;
+    static constexpr double localShare = 0.1;
+    /** Share of the burst that counts into the bucket depth; the rest is refilled in each window.
+     */
+    static constexpr double burstDepthShare = 0.25;
+    /** A substitute grants at a reduced rate for this long: the primary owner may still grant. */
+    static constexpr Millis substitutePeriod = Millis(6000);
+    static constexpr double substituteRateShare = 0.5;
+    /** With links to fewer instances than this, others may have selected another owner. */
+    static constexpr double minReachableShare = 0.8;
+    /** Retry times of refused requests are staggered, up to this far ahead. */
+    static constexpr Millis maxRetryBacklog = Millis::seconds(4);
+
+    explicit QuotaLedger(QuotaTolerance tolerance) : tolerance_(tolerance) { }
+
+    /** Takes effect at once. Removes buckets of customers without a quota. */
     void setQuotas(QuotaTable quotas, Millis now);
-    /** The part of all instances, 0 to 1, with which this one is linked. */
-    void setReach(double reach) { reach_ = reach; }
-    /** Since when this instance keeps what it is asked for. */
-    void setKeeperSince(Millis since) { keeperSince_ = since; }
+    /** Share of all instances, 0 to 1, to which this one has a link. */
+    void setReach(double share) { reachableShare_ = share; }
+    /** When this instance became the owner of its present keys. */
+    void setOwnershipStartedAt(Millis startedAt) { ownershipStartedAt_ = startedAt; }
 
     /** Returns the customer's quota, or null. */
     const CustomerQuota *quota(const std::string &customer) const;
     const QuotaTolerance &tolerance() const { return tolerance_; }
 
     /**
-        Takes what a request costs, if the bucket has it.
+        Takes a request's cost from the bucket if the bucket can cover it.
 
-        @param isStandIn  the customer's usual keeper was passed over
+        @param isSubstitute  the customer's primary owner is excluded and this instance replaces it
     */
-    QuotaOffer take(const std::string &customer, double cost, bool isStandIn, Millis now);
-    /** Takes what was used without a question; below zero, gives back what was not used. */
-    void charge(const std::string &customer, double cost, bool isStandIn, Millis now);
+    QuotaDecision take(const std::string &customer, double cost, bool isSubstitute, Millis now);
+    /** Charges use that was not queried before; a negative cost returns an unused grant. */
+    void charge(const std::string &customer, double cost, bool isSubstitute, Millis now);
 
-    /** Returns what a customer's bucket holds, or nothing where none is kept. */
+    /** Returns the level of a customer's bucket, or nothing if there is no bucket. */
     std::optional<double> level(const std::string &customer, Millis now) const;
     std::size_t buckets() const { return buckets_.size(); }
 
@@ -86,28 +89,27 @@
     struct Bucket
     {
         TokenBucket tokens;
-        Millis since;
-        /** What requests that were told to come back will take. */
-        double promised = 0;
-        Millis promisedAt;
+        Millis startedAt;
+        /** Cost of refused requests that were given a retry time and are expected to return. */
+        double retryBacklog = 0;
+        Millis retryBacklogAt;
     };
 
-    Bucket &bucket(const std::string &customer, const CustomerQuota &quota, bool isStandIn,
+    Bucket &bucket(const std::string &customer, const CustomerQuota &quota, bool isSubstitute,
                    Millis now);
-    Millis comeBack(Bucket &bucket, const CustomerQuota &quota, double missing, Millis now) const;
-    /** Returns whether the tolerance is too small to divide: a plain bucket keeps the quota then.
-     */
+    Millis retryDelay(Bucket &bucket, const CustomerQuota &quota, double needed, Millis now) const;
+    /** Returns whether the tolerance is too small to divide; a plain token bucket is used then. */
     bool isExact(const CustomerQuota &quota) const;
     double depth(const CustomerQuota &quota) const;
-    /** Returns what a bucket gains a second. */
-    double gain(const CustomerQuota &quota) const;
-    double mostDebt(const Bucket &bucket, const CustomerQuota &quota, Millis now) const;
+    /** Returns the refill per second. */
+    double refillRate(const CustomerQuota &quota) const;
+    double maxDebt(const Bucket &bucket, const CustomerQuota &quota, Millis now) const;
 
     QuotaTolerance tolerance_;
     QuotaTable quotas_;
     std::unordered_map<std::string, Bucket> buckets_;
-    double reach_ = 1;
-    Millis keeperSince_;
+    double reachableShare_ = 1;
+    Millis ownershipStartedAt_;
 };
 
 } // namespace cuminrail
--- a/modules/quotas/exchange/QuotaExchange.cpp
+++ b/modules/quotas/exchange/QuotaExchange.cpp
@@ -11,46 +11,46 @@
 
 namespace {
 
-KeeperKey keyOf(const std::string &customer)
+OwnershipKey keyOf(const std::string &customer)
 {
     return StableHash().add(customer).value();
 }
 
-std::uint64_t whole(double value)
+std::uint64_t roundedUp(double value)
 {
-    const double most = static_cast<double>(QuotaMessageLimits::cost);
-    return static_cast<std::uint64_t>(std::clamp(std::ceil(value), 0.0, most));
+    const double maxCost = static_cast<double>(QuotaMessageLimits::cost);
+    return static_cast<std::uint64_t>(std::clamp(std::ceil(value), 0.0, maxCost));
 }
 
 } // namespace
 
 QuotaExchange::QuotaExchange(QuotaTolerance tolerance, PeerTransport transport, Clock clock)
-    : transport_(std::move(transport)), clock_(std::move(clock)), book_(tolerance)
+    : transport_(std::move(transport)), clock_(std::move(clock)), ledger_(tolerance)
 {
-    book_.setKeeperSince(clock_.now());
+    ledger_.setOwnershipStartedAt(clock_.now());
 }
 
 void QuotaExchange::setPeers(std::vector<KeeperCandidate> peers)
 {
-    isDecided_ = true;
-    instances_ = std::max<std::size_t>(1, peers.size());
-    if (keepers_.setPeers(std::move(peers)))
-        book_.setKeeperSince(clock_.now());
-    for (const Pending &waiting : std::exchange(undecided_, {}))
-        askDecided(waiting.customer, waiting.cost, waiting.done);
+    arePeersKnown_ = true;
+    instanceCount_ = std::max<std::size_t>(1, peers.size());
+    if (owners_.setPeers(std::move(peers)))
+        ledger_.setOwnershipStartedAt(clock_.now());
+    for (const Pending &pending : std::exchange(awaitingPeers_, {}))
+        acquireNow(pending.customer, pending.cost, pending.done);
 }
 
-bool QuotaExchange::takeUnasked(const std::string &customer, const CustomerQuota &quota,
+bool QuotaExchange::takeLocally(const std::string &customer, const CustomerQuota &quota,
                                 double cost)
 {
     const Millis now = clock_.now();
-    const QuotaTolerance &tolerance = book_.tolerance();
-    const double part =
-        QuotaBook::unaskedShare * tolerance.of(quota) / static_cast<double>(instances_);
-    const auto [entry, isNew] = unasked_.try_emplace(customer);
+    const QuotaTolerance &tolerance = ledger_.tolerance();
+    const double share =
+        QuotaLedger::localShare * tolerance.of(quota) / static_cast<double>(instanceCount_);
+    const auto [entry, isNew] = localBuckets_.try_emplace(customer);
     TokenBucket &bucket = entry->second;
-    // Half of the part comes back in a window, so that a window holds one and a half of it.
-    bucket.configure(part / 2 / tolerance.window.toSeconds(), part, now);
+    // Half of the share is refilled in a window, so a window sees at most one and a half shares.
+    bucket.configure(share / 2 / tolerance.window.toSeconds(), share, now);
     if (isNew)
         bucket.fill();
     if (bucket.level(now) < cost)
@@ -64,64 +64,64 @@
     const CustomerQuota *limit = quota(customer);
     if (limit == nullptr)
         return done(QuotaVerdict());
-    if (!isDecided_) {
-        const Millis until = clock_.now() + decidedWithin;
-        undecided_.push_back(Pending{customer, cost, std::move(done), {}, until, false});
+    if (!arePeersKnown_) {
+        const Millis deadline = clock_.now() + peerDiscoveryTimeout;
+        awaitingPeers_.push_back(Pending{customer, cost, std::move(done), {}, deadline, false});
         return;
     }
-    askDecided(customer, cost, done);
+    acquireNow(customer, cost, done);
 }
 
-void QuotaExchange::askDecided(const std::string &customer, double cost, const Completion &done)
+void QuotaExchange::acquireNow(const std::string &customer, double cost, const Completion &done)
 {
     const CustomerQuota *limit = quota(customer);
     if (limit == nullptr)
         return done(QuotaVerdict());
-    const PeerAddress &keeper = keepers_.keeperOf(keyOf(customer), clock_.now());
-    if (!keeper.empty() && takeUnasked(customer, *limit, cost)) {
+    const PeerAddress &owner = owners_.ownerOf(keyOf(customer), clock_.now());
+    if (!owner.empty() && takeLocally(customer, *limit, cost)) {
         ++stats_.unasked;
-        charge(keeper, QuotaCharge{customer, whole(cost), false});
-        return finish(Pending{customer, cost, done, {}, {}, false}, {true, {}, 0}, keeper);
+        charge(owner, QuotaCharge{customer, roundedUp(cost), false});
+        return finish(Pending{customer, cost, done, {}, {}, false}, {true, {}, 0}, owner);
     }
-    askKeeper(Pending{customer, cost, done, keeper, {}, false});
+    queryOwner(Pending{customer, cost, done, owner, {}, false});
 }
 
-void QuotaExchange::askKeeper(Pending pending)
+void QuotaExchange::queryOwner(Pending pending)
 {
-    // With all keepers passed over, an instance that is none of them does not become one.
-    if (pending.keeper.empty() && !keepers_.isEmpty() && !keepers_.isKeeper())
+    // An instance that is not an owner does not become one when all owners are excluded.
+    if (pending.owner.empty() && !owners_.isEmpty() && !owners_.isOwner())
         return finishUnknown(pending.done);
-    if (pending.keeper.empty())
-        return finish(pending, takeHere(pending.customer, pending.cost), {});
+    if (pending.owner.empty())
+        return finish(pending, takeFromLedger(pending.customer, pending.cost), {});
     const std::uint64_t number = nextNumber_++;
-    pending.until = clock_.now() + answerTimeout;
-    const QuotaQuestion question{number, pending.customer, whole(pending.cost)};
-    const PeerAddress keeper = pending.keeper;
+    pending.deadline = clock_.now() + replyTimeout;
+    const QuotaQuery query{number, pending.customer, roundedUp(pending.cost)};
+    const PeerAddress owner = pending.owner;
     pending_[number] = std::move(pending);
-    send(keeper, question);
+    send(owner, query);
 }
 
-QuotaOffer QuotaExchange::takeHere(const std::string &customer, double cost)
+QuotaDecision QuotaExchange::takeFromLedger(const std::string &customer, double cost)
 {
-    const PeerAddress &usual = keepers_.firstOf(keyOf(customer));
-    const QuotaOffer offer = book_.take(customer, cost, !usual.empty(), clock_.now());
-    // Passed over for being slow, the usual keeper still grants to those who reach it.
-    if (offer.isGranted && !usual.empty() && guardEnabled(Guard::QuotaStandInTells))
-        send(usual, QuotaCharge{customer, whole(cost), false});
-    return offer;
+    const PeerAddress &primary = owners_.primaryOwnerOf(keyOf(customer));
+    const QuotaDecision decision = ledger_.take(customer, cost, !primary.empty(), clock_.now());
+    // A primary owner that is excluded for slow replies still grants to instances that reach it.
+    if (decision.isGranted && !primary.empty() && guardEnabled(Guard::QuotaStandInTells))
+        send(primary, QuotaCharge{customer, roundedUp(cost), false});
+    return decision;
 }
 
-void QuotaExchange::finish(const Pending &pending, const QuotaOffer &offer,
-                           const PeerAddress &keeper)
+void QuotaExchange::finish(const Pending &pending, const QuotaDecision &decision,
+                           const PeerAddress &owner)
 {
-    QuotaVerdict verdict;
-    verdict.result = offer.isGranted ? QuotaResult::Granted : QuotaResult::Refused;
-    verdict.comeBackAfter = offer.comeBackAfter;
-    verdict.level = offer.level;
-    if (offer.isGranted)
-        verdict.grant = {pending.customer, pending.cost, keeper};
-    ++(offer.isGranted ? stats_.granted : stats_.refused);
-    pending.done(verdict);
+    QuotaVerdict outcome;
+    outcome.result = decision.isGranted ? QuotaResult::Granted : QuotaResult::Refused;
+    outcome.comeBackAfter = decision.comeBackAfter;
+    outcome.level = decision.level;
+    if (decision.isGranted)
+        outcome.grant = {pending.customer, pending.cost, owner};
+    ++(decision.isGranted ? stats_.granted : stats_.refused);
+    pending.done(outcome);
 }
 
 void QuotaExchange::giveBack(QuotaGrant &grant)
@@ -130,15 +130,15 @@
     if (!unused.isSet())
         return;
     ++stats_.givenBack;
-    charge(unused.keeper, QuotaCharge{unused.customer, whole(unused.cost), true});
+    charge(unused.owner, QuotaCharge{unused.customer, roundedUp(unused.cost), true});
 }
 
-void QuotaExchange::charge(const PeerAddress &keeper, const QuotaCharge &message)
+void QuotaExchange::charge(const PeerAddress &owner, const QuotaCharge &message)
 {
-    if (keeper.empty())
-        on(keeper, message);
+    if (owner.empty())
+        handle(owner, message);
     else
-        send(keeper, message);
+        send(owner, message);
 }
 
 void QuotaExchange::send(const PeerAddress &to, const QuotaMessage &message)
@@ -152,77 +152,77 @@
     const auto message = decodeQuotaMessage(frame);
     if (!message)
         return false;
-    std::visit([&](const auto &each) { on(from, each); }, *message);
+    std::visit([&](const auto &each) { handle(from, each); }, *message);
     return true;
 }
 
-void QuotaExchange::on(const PeerAddress &from, const QuotaQuestion &question)
+void QuotaExchange::handle(const PeerAddress &from, const QuotaQuery &query)
 {
-    const QuotaOffer offer = takeHere(question.customer, static_cast<double>(question.cost));
-    const auto back = offer.comeBackAfter.value_or(Millis(0)).count();
-    const auto most = static_cast<std::int64_t>(QuotaMessageLimits::millis);
+    const QuotaDecision decision = takeFromLedger(query.customer, static_cast<double>(query.cost));
+    const auto retryAfter = decision.comeBackAfter.value_or(Millis(0)).count();
+    const auto maxMillis = static_cast<std::int64_t>(QuotaMessageLimits::millis);
     send(from,
-         QuotaAnswer{question.number, offer.isGranted,
-                     static_cast<std::uint64_t>(std::clamp<std::int64_t>(back, 0, most)),
-                     static_cast<std::uint64_t>(std::max(0.0, offer.level))});
+         QuotaReply{query.number, decision.isGranted,
+                    static_cast<std::uint64_t>(std::clamp<std::int64_t>(retryAfter, 0, maxMillis)),
+                    static_cast<std::uint64_t>(std::max(0.0, decision.level))});
 }
 
-void QuotaExchange::on(const PeerAddress &from, const QuotaAnswer &answer)
+void QuotaExchange::handle(const PeerAddress &from, const QuotaReply &reply)
 {
-    keepers_.answered(from);
-    const auto late = late_.find(answer.number);
-    if (late != late_.end()) {
-        if (answer.isGranted && guardEnabled(Guard::QuotaLateGrantReturned))
-            send(from, QuotaCharge{late->second.customer, whole(late->second.cost), true});
-        late_.erase(late);
+    owners_.recordReply(from);
+    const auto late = lateReplies_.find(reply.number);
+    if (late != lateReplies_.end()) {
+        if (reply.isGranted && guardEnabled(Guard::QuotaLateGrantReturned))
+            send(from, QuotaCharge{late->second.customer, roundedUp(late->second.cost), true});
+        lateReplies_.erase(late);
         return;
     }
-    const auto found = pending_.find(answer.number);
-    if (found == pending_.end() || found->second.keeper != from)
+    const auto found = pending_.find(reply.number);
+    if (found == pending_.end() || found->second.owner != from)
         return;
     const Pending pending = std::move(found->second);
     pending_.erase(found);
-    QuotaOffer offer;
-    offer.isGranted = answer.isGranted;
-    offer.level = static_cast<double>(answer.level);
-    if (answer.comeBackMillis > 0)
-        offer.comeBackAfter = Millis(static_cast<std::int64_t>(answer.comeBackMillis));
-    finish(pending, offer, from);
+    QuotaDecision decision;
+    decision.isGranted = reply.isGranted;
+    decision.level = static_cast<double>(reply.level);
+    if (reply.retryAfterMillis > 0)
+        decision.comeBackAfter = Millis(static_cast<std::int64_t>(reply.retryAfterMillis));
+    finish(pending, decision, from);
 }
 
-void QuotaExchange::on(const PeerAddress &, const QuotaCharge &charge)
+void QuotaExchange::handle(const PeerAddress &, const QuotaCharge &charge)
 {
     const double cost = static_cast<double>(charge.cost);
-    const bool isStandIn = !keepers_.isOwn(keyOf(charge.customer));
-    book_.charge(charge.customer, charge.isGivenBack ? -cost : cost, isStandIn, clock_.now());
+    const bool isSubstitute = !owners_.ownsKey(keyOf(charge.customer));
+    ledger_.charge(charge.customer, charge.isGivenBack ? -cost : cost, isSubstitute, clock_.now());
 }
 
 void QuotaExchange::dropQuestions()
 {
     pending_.clear();
-    undecided_.clear();
+    awaitingPeers_.clear();
 }
 
 void QuotaExchange::tick()
 {
     const Millis now = clock_.now();
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> timedOut;
     for (const auto &[number, pending] : pending_) {
-        if (now >= pending.until)
-            over.push_back(number);
+        if (now >= pending.deadline)
+            timedOut.push_back(number);
     }
-    for (const std::uint64_t number : over)
-        unanswered(number);
-    while (!undecided_.empty() && now >= undecided_.front().until) {
-        const Completion done = std::move(undecided_.front().done);
-        undecided_.erase(undecided_.begin());
+    for (const std::uint64_t number : timedOut)
+        handleTimeout(number);
+    while (!awaitingPeers_.empty() && now >= awaitingPeers_.front().deadline) {
+        const Completion done = std::move(awaitingPeers_.front().done);
+        awaitingPeers_.erase(awaitingPeers_.begin());
         finishUnknown(done);
     }
-    for (auto it = late_.begin(); it != late_.end();)
-        it = now >= it->second.until ? late_.erase(it) : std::next(it);
+    for (auto it = lateReplies_.begin(); it != lateReplies_.end();)
+        it = now >= it->second.expiresAt ? lateReplies_.erase(it) : std::next(it);
 }
 
-void QuotaExchange::unanswered(std::uint64_t number)
+void QuotaExchange::handleTimeout(std::uint64_t number)
 {
     const auto found = pending_.find(number);
     if (found == pending_.end())
@@ -230,13 +230,13 @@
     const Millis now = clock_.now();
     Pending pending = std::move(found->second);
     pending_.erase(found);
-    late_[number] = Late{pending.customer, pending.cost, now + lateAnswers};
+    lateReplies_[number] = LateReply{pending.customer, pending.cost, now + lateReplyRetention};
     ++stats_.unanswered;
-    keepers_.leftUnanswered(pending.keeper, now);
-    if (!pending.isSecond) {
-        pending.isSecond = true;
-        pending.keeper = keepers_.keeperBeside(pending.keeper, keyOf(pending.customer), now);
-        return askKeeper(std::move(pending));
+    owners_.recordMissedReply(pending.owner, now);
+    if (!pending.isRetry) {
+        pending.isRetry = true;
+        pending.owner = owners_.nextOwnerOf(pending.owner, keyOf(pending.customer), now);
+        return queryOwner(std::move(pending));
     }
     finishUnknown(pending.done);
 }
@@ -244,9 +244,9 @@
 void QuotaExchange::finishUnknown(const Completion &done)
 {
     ++stats_.unknown;
-    QuotaVerdict verdict;
-    verdict.result = QuotaResult::Unknown;
-    done(verdict);
+    QuotaVerdict outcome;
+    outcome.result = QuotaResult::Unknown;
+    done(outcome);
 }
 
 } // namespace cuminrail
--- a/modules/quotas/exchange/QuotaExchange.h
+++ b/modules/quotas/exchange/QuotaExchange.h
@@ -11,12 +11,12 @@
 
 namespace cuminrail {
 
-/** How a question about a customer's quota ended. */
+/** How a request for a customer's quota ended. */
 enum class QuotaResult : std::uint8_t {
     Granted,
     /** The customer is over its quota. */
     Refused,
-    /** No keeper answered. */
+    /** No owner replied. */
     Unknown,
 };
 
@@ -26,13 +26,13 @@
     {QuotaResult::Unknown, "unknown"},
 }}};
 
-/** What was granted to a request; empty where nothing needs to be given back. */
+/** A grant to a request; empty where nothing needs to be returned. */
 struct QuotaGrant
 {
     std::string customer;
     double cost = 0;
-    /** Who granted it; empty for this instance. */
-    PeerAddress keeper;
+    /** The owner that granted it; empty for this instance. */
+    PeerAddress owner;
 
     bool isSet() const { return !customer.empty(); }
 };
@@ -41,9 +41,9 @@
 {
     QuotaResult result = QuotaResult::Granted;
     QuotaGrant grant;
-    /** @see QuotaOffer */
+    /** @see QuotaDecision */
     std::optional<Millis> comeBackAfter;
-    /** What the keeper said that the bucket holds. */
+    /** Level of the bucket as the owner reported it. */
     double level = 0;
 };
 
@@ -53,72 +53,79 @@
     std::uint64_t granted = 0;
     std::uint64_t refused = 0;
     std::uint64_t givenBack = 0;
-    /** Requests that went on before their use was told to the keeper. */
+    /** Requests granted locally and charged to the owner afterwards. */
     std::uint64_t unasked = 0;
-    /** Questions that no keeper answered. */
+    /** Requests for which no owner replied. */
     std::uint64_t unknown = 0;
     std::uint64_t unanswered = 0;
     std::uint64_t framesSent = 0;
 };
 
 /**
-    One instance's part in customers' quotas: it keeps some customers' buckets, and asks for the
-    others.
+        One instance's part in enforcing customer quotas: it owns the buckets of some customers, and
+    queries the owners of the others.
 
-    Load: requests so large that a customer's quota is some dozens of them in a window, spread over
-    hundreds of instances by a balancer that knows no customers.
+    Expected load: requests so large that a customer's quota covers some dozens of them in a window,
+    spread over hundreds of instances by a load balancer that does not know customers.
 
-    A keeper that does not answer is passed over, and the next in order stands in for it: with a
-    small bucket, at half of the rate at first, telling the usual keeper of each grant. Small
-    requests go on unasked within a part of the tolerance, divided by the number of instances, and
-    are charged afterwards.
+    An owner that does not reply is excluded, and the next instance in the ranking is its
+    substitute: it starts with a small bucket, grants at half the rate at first, and reports each
+    grant to the primary owner. Small requests are granted locally without a query, within a share
+    of the tolerance divided by the number of instances, and are charged to the owner afterwards.
+
+    Not thread-safe: used from one thread. No call blocks.
 
-    Belongs to one thread; nothing here waits.
 */
 class QuotaExchange
 {
 public:
-    /** A machine that used up its share of a processor answers later; a stand-in is nearer then. */
-    static constexpr Millis answerTimeout = Millis(40);
-    /** An instance that starts reads within this who the others are. */
-    static constexpr Millis decidedWithin = Millis(400);
-    /** A grant that arrives later than its question's end is given back within this. */
-    static constexpr Millis lateAnswers = Millis::seconds(5);
+    /** Only a machine that used up its CPU share replies later; a substitute is faster then. */
+    static constexpr Millis replyTimeout = Millis(40);
+    /** An instance that starts learns its peers within this time. */
+    static constexpr Millis peerDiscoveryTimeout = Millis(400);
+    /** A grant that arrives after its query timed out is returned if it arrives within this time.
+     */
+    static constexpr Millis lateReplyRetention = Millis::seconds(5);
 
-    using Completion = std::function<void(const QuotaVerdict &verdict)>;
+    using Completion = std::function<void(const QuotaVerdict &outcome)>;
 
     QuotaExchange(QuotaTolerance tolerance, PeerTransport transport, Clock clock);
 
-    void setQuotas(QuotaTable quotas) { book_.setQuotas(std::move(quotas), clock_.now()); }
-    /** There are no other instances to ask. */
-    void setAlone() { isDecided_ = true; }
+    void setQuotas(QuotaTable quotas) { ledger_.setQuotas(std::move(quotas), clock_.now()); }
+    /** There are no other instances to query. */
+    void setAlone() { arePeersKnown_ = true; }
     /**
-        All instances, this one first; with an address where they take links. Until then nobody can
-        tell who keeps what: questions wait a moment, then end as Unknown.
+        All instances, this one first, each other one with the address on which it accepts links.
+        Until the first call owners are unknown: requests wait for peerDiscoveryTimeout, then end
+        as Unknown.
     */
     void setPeers(std::vector<KeeperCandidate> peers);
-    /** The part of all instances, 0 to 1, with which this one is linked. */
-    void setReach(double reach) { book_.setReach(reach); }
+    /** Share of all instances, 0 to 1, to which this one has a link. */
+    void setReach(double share) { ledger_.setReach(share); }
     /** Returns the customer's quota, or null. */
-    const CustomerQuota *quota(const std::string &customer) const { return book_.quota(customer); }
+    const CustomerQuota *quota(const std::string &customer) const
+    {
+        return ledger_.quota(customer);
+    }
 
     /**
-        Asks whether a customer may use so much. The completion is called once: before this returns
-        where nobody needs to be asked, else at the answer or at a tick() after the time-outs.
+        Requests a grant of the given cost from a customer's quota. The completion is called once:
+        before this returns if no query is needed, else on the reply or in a tick() after the
+        time-outs.
     */
     void ask(const std::string &customer, double cost, Completion done);
-    /** The request was not run. Clears the grant. */
+    /** Returns the grant of a request that was not run, and clears it. */
     void giveBack(QuotaGrant &grant);
 
-    /** A frame came from another instance. Returns false if it is no message of a quota. */
+    /** Handles a frame from another instance. Returns false if it is not a quota message. */
     bool received(const PeerAddress &from, const std::string &frame);
-    /** Forgets open questions without calling anybody; for the end of the process. */
+    /** Drops pending requests without calling their completions; for the end of the process. */
     void dropQuestions();
-    /** Ends questions whose time is over; to be called every few milliseconds. */
+    /** Handles time-outs; to be called every few milliseconds. */
     void tick();
 
     const QuotaExchangeStats &stats() const { return stats_; }
-    const QuotaBook &book() const { return book_; }
+    const QuotaLedger &ledger() const { return ledger_; }
 
 private:
     struct Pending
@@ -126,43 +133,43 @@
         std::string customer;
         double cost = 0;
         Completion done;
-        PeerAddress keeper;
-        Millis until;
-        bool isSecond = false;
+        PeerAddress owner;
+        Millis deadline;
+        bool isRetry = false;
     };
-    struct Late
+    struct LateReply
     {
         std::string customer;
         double cost = 0;
-        Millis until;
+        Millis expiresAt;
     };
 
-    void askDecided(const std::string &customer, double cost, const Completion &done);
-    bool takeUnasked(const std::string &customer, const CustomerQuota &quota, double cost);
-    void askKeeper(Pending pending);
-    QuotaOffer takeHere(const std::string &customer, double cost);
-    void finish(const Pending &pending, const QuotaOffer &offer, const PeerAddress &keeper);
+    void acquireNow(const std::string &customer, double cost, const Completion &done);
+    bool takeLocally(const std::string &customer, const CustomerQuota &quota, double cost);
+    void queryOwner(Pending pending);
+    QuotaDecision takeFromLedger(const std::string &customer, double cost);
+    void finish(const Pending &pending, const QuotaDecision &decision, const PeerAddress &owner);
     void finishUnknown(const Completion &done);
-    void unanswered(std::uint64_t number);
-    void charge(const PeerAddress &keeper, const QuotaCharge &charge);
+    void handleTimeout(std::uint64_t number);
+    void charge(const PeerAddress &owner, const QuotaCharge &charge);
     void send(const PeerAddress &to, const QuotaMessage &message);
 
-    void on(const PeerAddress &from, const QuotaQuestion &question);
-    void on(const PeerAddress &from, const QuotaAnswer &answer);
-    void on(const PeerAddress &from, const QuotaCharge &charge);
+    void handle(const PeerAddress &from, const QuotaQuery &query);
+    void handle(const PeerAddress &from, const QuotaReply &reply);
+    void handle(const PeerAddress &from, const QuotaCharge &charge);
 
     PeerTransport transport_;
     Clock clock_;
-    KeeperRanking keepers_;
-    QuotaBook book_;
-    std::size_t instances_ = 1;
-    bool isDecided_ = false;
-    /** Questions that came before it was known who keeps what, in the order of their ends. */
-    std::vector<Pending> undecided_;
+    OwnerRanking owners_;
+    QuotaLedger ledger_;
+    std::size_t instanceCount_ = 1;
+    bool arePeersKnown_ = false;
+    /** Requests that arrived before the peers were known, ordered by deadline. */
+    std::vector<Pending> awaitingPeers_;
     std::map<std::uint64_t, Pending> pending_;
-    std::map<std::uint64_t, Late> late_;
-    /** What may go on unasked, by customer. */
-    std::unordered_map<std::string, TokenBucket> unasked_;
+    std::map<std::uint64_t, LateReply> lateReplies_;
+    /** What may be granted locally without a query, by customer. */
+    std::unordered_map<std::string, TokenBucket> localBuckets_;
     std::uint64_t nextNumber_ = 1;
     QuotaExchangeStats stats_;
 };
--- a/modules/quotas/exchange/QuotaExchange_test.cpp
+++ b/modules/quotas/exchange/QuotaExchange_test.cpp
@@ -11,18 +11,18 @@
 
 constexpr QuotaTolerance tolerance{Millis(8000), 0.1, 190000};
 const std::string north = "north";
-const QuotaTable usual{{north, {QuotaUnit::Tokens, 50000, 50000, 200}}};
+const QuotaTable usualQuotas{{north, {QuotaUnit::Tokens, 50000, 50000, 200}}};
 
-/** What a customer asks: mostly short requests, some very long ones. */
-double drawCost(QuotaCluster &cluster)
+/** Returns the cost of a request: mostly short ones, some very long ones. */
+double randomCost(QuotaCluster &cluster)
 {
-    constexpr double least = 100;
-    constexpr double most = 93000;
-    const double part = cluster.pick(1000) / 1000.0;
-    return least * std::pow(most / least, part);
+    constexpr double minCost = 100;
+    constexpr double maxCost = 93000;
+    const double share = cluster.pick(1000) / 1000.0;
+    return minCost * std::pow(maxCost / minCost, share);
 }
 
-/** Offers so many tokens a second, at instances drawn for each request. */
+/** Sends requests of so many tokens a second, each to a random instance. */
 void offer(QuotaCluster &cluster, int instances, double tokensPerSecond, Millis span)
 {
     constexpr Millis each = Millis(10);
@@ -30,81 +30,83 @@
     for (Millis passed; passed < span; passed += each) {
         due += tokensPerSecond * each.toSeconds();
         while (due > 0) {
-            const double cost = drawCost(cluster);
+            const double cost = randomCost(cluster);
             due -= cost;
             cluster.request(cluster.pick(instances), north, cost);
         }
-        cluster.pass(each);
+        cluster.advance(each);
     }
 }
 
 } // namespace
 
-TEST_CASE("a customer below its quota is not refused, wherever its requests arrive")
+TEST_CASE("a customer below its quota is not refused, whichever instances get its requests")
 {
     for (const int instances : {6, 90, 370}) {
         CAPTURE(instances);
-        QuotaCluster cluster(instances, tolerance, usual, 7);
+        QuotaCluster cluster(instances, tolerance, usualQuotas, 7);
         offer(cluster, instances, 28000, Millis::seconds(30));
         CHECK(cluster.ran >= 0.97 * cluster.offered);
     }
 }
 
-// Guards against instances that each count for themselves, or divide the quota: the first grants a
-// flood whole, the second refuses what the quota allows.
-TEST_CASE("a flood gets its quota, no less and within the tolerance no more")
+// Guards against instances that count independently, which would grant an overload in full, and
+// against a quota divided among instances, which would refuse what the quota allows.
+TEST_CASE("an overloading customer gets its quota, and no more than the tolerance above it")
 {
     for (const int instances : {6, 90}) {
         CAPTURE(instances);
-        QuotaCluster cluster(instances, tolerance, usual, 11);
+        QuotaCluster cluster(instances, tolerance, usualQuotas, 11);
         offer(cluster, instances, 250000, Millis::seconds(24));
         CHECK(cluster.busiestWindow() <= cluster.allowed(north));
         CHECK(cluster.ran >= 0.9 * 50000 * 24);
     }
 }
 
-TEST_CASE("in no window does more run than the quota and its tolerance, whatever fails")
+// Guards against overuse when an owner's state is lost, or when substitutes grant beside a primary
+// owner that still runs.
+TEST_CASE("no window exceeds quota and tolerance under faults of instances and links")
 {
     struct Row
     {
         const char *what;
-        std::function<void(QuotaCluster &cluster, int keeper, int instances)> fault;
+        std::function<void(QuotaCluster &cluster, int owner, int instances)> fault;
     };
     const Row rows[] = {
-        {"the keeper is killed and starts again",
-         [](QuotaCluster &cluster, int keeper, int instances) {
-             cluster.dead.insert(keeper);
+        {"the owner is killed and restarted",
+         [](QuotaCluster &cluster, int owner, int instances) {
+             cluster.dead.insert(owner);
              offer(cluster, instances, 250000, Millis(1500));
-             cluster.start(keeper);
+             cluster.start(owner);
          }},
-        {"the keeper is killed for good",
-         [](QuotaCluster &cluster, int keeper, int) { cluster.dead.insert(keeper); }},
-        {"the keeper stands still and wakes",
-         [](QuotaCluster &cluster, int keeper, int instances) {
-             cluster.frozen.insert(keeper);
+        {"the owner is killed for good",
+         [](QuotaCluster &cluster, int owner, int) { cluster.dead.insert(owner); }},
+        {"the owner freezes and resumes",
+         [](QuotaCluster &cluster, int owner, int instances) {
+             cluster.frozen.insert(owner);
              offer(cluster, instances, 250000, Millis(3000));
-             cluster.frozen.erase(keeper);
+             cluster.frozen.erase(owner);
          }},
-        {"the keeper hears nobody, but is heard",
-         [](QuotaCluster &cluster, int keeper, int) {
-             cluster.isCut = [keeper](int, int to) { return to == keeper; };
+        {"the owner sends but receives nothing",
+         [](QuotaCluster &cluster, int owner, int) {
+             cluster.isCut = [owner](int, int to) { return to == owner; };
          }},
-        {"the keeper is heard by nobody, but hears",
-         [](QuotaCluster &cluster, int keeper, int) {
-             cluster.isCut = [keeper](int from, int) { return from == keeper; };
+        {"the owner receives but its frames are lost",
+         [](QuotaCluster &cluster, int owner, int) {
+             cluster.isCut = [owner](int from, int) { return from == owner; };
          }},
-        {"every sixth instance is cut off",
+        {"every sixth instance is partitioned off",
          [](QuotaCluster &cluster, int, int) {
              cluster.isCut = [](int from, int to) {
                  return from != to && (from % 6 == 0 || to % 6 == 0);
              };
          }},
-        {"links lose a tenth of the frames and delay the others",
+        {"links drop a tenth of the frames and delay the others",
          [](QuotaCluster &cluster, int, int) {
              cluster.lossPercent = 10;
-             cluster.delayMost = Millis(60);
+             cluster.maxDelay = Millis(60);
          }},
-        {"all are killed at once",
+        {"all instances are killed at once",
          [](QuotaCluster &cluster, int, int instances) {
              for (int i = 0; i < instances; ++i)
                  cluster.start(i);
@@ -115,93 +117,95 @@
         CAPTURE(row.what);
         for (std::uint64_t seed = 1; seed <= 6; ++seed) {
             CAPTURE(seed);
-            QuotaCluster cluster(instances, tolerance, usual, seed);
+            QuotaCluster cluster(instances, tolerance, usualQuotas, seed);
             offer(cluster, instances, 250000, Millis(3000 + 500 * static_cast<int>(seed)));
-            row.fault(cluster, cluster.keeperOf(north), instances);
+            row.fault(cluster, cluster.ownerOf(north), instances);
             offer(cluster, instances, 250000, Millis::seconds(12));
             CHECK(cluster.busiestWindow() <= cluster.allowed(north));
         }
     }
 }
 
-// Guards against two keepers that each grant the whole quota while a cut keeps them apart.
-TEST_CASE("parts of a system that is cut in two share the quota by what each part reaches")
+// Guards against two owners, one in each part of a network partition, that each grant the whole
+// quota.
+TEST_CASE("in a network partition each part grants the quota in proportion to its reachable share")
 {
     constexpr int instances = 24;
     for (const int apart : {4, 8, 12}) {
         CAPTURE(apart);
-        QuotaCluster cluster(instances, tolerance, usual, 3);
+        QuotaCluster cluster(instances, tolerance, usualQuotas, 3);
         cluster.isCut = [apart](int from, int to) { return (from < apart) != (to < apart); };
-        cluster.pass(Millis(9000));
+        cluster.advance(Millis(9000));
         offer(cluster, instances, 250000, Millis::seconds(16));
         CHECK(cluster.busiestWindow() <= cluster.allowed(north));
         CHECK(cluster.ran >= 0.5 * 50000 * 16);
     }
 }
 
-// Guards against an instance that serves nobody, or everybody, while it reaches no keeper.
-TEST_CASE("an instance that reaches nobody lets small requests through, and few of them")
+// Guards against an instance that grants nothing, or everything, while it reaches no owner.
+TEST_CASE("an isolated instance grants a few small requests locally")
 {
     constexpr int instances = 24;
-    QuotaCluster cluster(instances, tolerance, usual, 5);
-    const int lonely = cluster.asker();
-    cluster.isCut = [lonely](int from, int to) { return from == lonely || to == lonely; };
+    QuotaCluster cluster(instances, tolerance, usualQuotas, 5);
+    const int isolated = cluster.nonOwner();
+    cluster.isCut = [isolated](int from, int to) { return from == isolated || to == isolated; };
     for (int i = 0; i < 200; ++i) {
-        cluster.request(lonely, north, 200);
-        cluster.pass(Millis(50));
+        cluster.request(isolated, north, 200);
+        cluster.advance(Millis(50));
     }
-    const double part = QuotaBook::unaskedShare * tolerance.of(usual.at(north)) / instances;
-    CHECK(cluster.ran >= part / 2);
-    CHECK(cluster.ran <= part * 2);
-    CHECK(cluster.at(lonely).stats().unknown > 0);
+    const double share = QuotaLedger::localShare * tolerance.of(usualQuotas.at(north)) / instances;
+    CHECK(cluster.ran >= share / 2);
+    CHECK(cluster.ran <= share * 2);
+    CHECK(cluster.at(isolated).stats().unknown > 0);
 }
 
-// Guards against a grant that is lost when its answer comes after the question was given up.
-TEST_CASE("a grant that comes too late is given back once")
+// Guards against a grant that leaks because its reply arrives after the query timed out.
+TEST_CASE("a grant in a late reply is returned once")
 {
     constexpr int instances = 24;
-    QuotaCluster cluster(instances, tolerance, usual, 9);
-    const int keeper = cluster.keeperOf(north);
-    const int asker = keeper == 0 ? 1 : 0;
+    QuotaCluster cluster(instances, tolerance, usualQuotas, 9);
+    const int owner = cluster.ownerOf(north);
+    const int querier = owner == 0 ? 1 : 0;
     constexpr double cost = 20000;
-    cluster.request(asker, north, cost);
-    cluster.pass(Millis(20));
-    const auto level = [&] { return *cluster.at(keeper).book().level(north, cluster.now); };
-    const double first = level();
-    cluster.pass(Millis(160));
+    cluster.request(querier, north, cost);
+    cluster.advance(Millis(20));
+    const auto level = [&] { return *cluster.at(owner).ledger().level(north, cluster.now); };
+    const double levelAtFirst = level();
+    cluster.advance(Millis(160));
     const double before = level();
-    const double gained = before - first;
-    cluster.frozen.insert(keeper);
-    cluster.request(asker, north, cost);
-    cluster.pass(Millis(60));
-    cluster.frozen.erase(keeper);
-    cluster.pass(Millis(100));
-    // The stand-in granted it and told the keeper, whose own late grant came back.
+    const double gained = before - levelAtFirst;
+    cluster.frozen.insert(owner);
+    cluster.request(querier, north, cost);
+    cluster.advance(Millis(60));
+    cluster.frozen.erase(owner);
+    cluster.advance(Millis(100));
+    // The substitute granted it and reported that to the primary owner, whose late grant was
+    // returned.
     CHECK(cluster.results[static_cast<std::size_t>(QuotaResult::Granted)] == 2);
     CHECK(before > 0);
     CHECK(level() == doctest::Approx(before - cost + gained));
 }
 
-// Guards against refusing everything in the moment between an instance's start and its first look
-// at who the others are, as after all were killed at once.
-TEST_CASE("questions wait until the others are known, and not for long")
+// Guards against refusing all requests between an instance's start and the discovery of its peers,
+// as after all instances were killed at once.
+TEST_CASE("requests wait for peer discovery, but only for a bounded time")
 {
     struct Row
     {
-        Millis knownAfter;
+        Millis peersKnownAfter;
         QuotaResult result;
     };
-    for (const Row &row : {Row{QuotaExchange::decidedWithin / 2, QuotaResult::Granted},
-                           Row{QuotaExchange::decidedWithin * 2, QuotaResult::Unknown}}) {
+    for (const Row &row : {Row{QuotaExchange::peerDiscoveryTimeout / 2, QuotaResult::Granted},
+                           Row{QuotaExchange::peerDiscoveryTimeout * 2, QuotaResult::Unknown}}) {
         Millis now(1000);
         QuotaExchange exchange(tolerance, {[](const PeerAddress &, const std::string &) {}},
                                Clock([&now] { return now; }));
-        exchange.setQuotas(usual);
+        exchange.setQuotas(usualQuotas);
         std::vector<QuotaResult> results;
         exchange.ask(north, 500,
-                     [&](const QuotaVerdict &verdict) { results.push_back(verdict.result); });
+                     [&](const QuotaVerdict &outcome) { results.push_back(outcome.result); });
         CHECK(results.empty());
-        for (Millis passed; passed < row.knownAfter; passed = passed + Millis(10)) {
+        for (Millis passed; passed < row.peersKnownAfter; passed = passed + Millis(10)) {
             now = now + Millis(10);
             exchange.tick();
         }
--- a/modules/quotas/messages/QuotaMessages.cpp
+++ b/modules/quotas/messages/QuotaMessages.cpp
@@ -9,18 +9,18 @@
 using nlohmann::json;
 using Limits = QuotaMessageLimits;
 
-/** The first element of each frame: format and kind. Another format is refused whole. */
-enum class Tag : std::uint8_t { Question = 0x41, Answer = 0x42, Charge = 0x43 };
+/** First element of each frame: format and kind. Frames of another format are rejected. */
+enum class Tag : std::uint8_t { Query = 0x41, Reply = 0x42, Charge = 0x43 };
 
-json encode(const QuotaQuestion &question)
+json encode(const QuotaQuery &query)
 {
-    return json::array({Tag::Question, question.number, question.customer, question.cost});
+    return json::array({Tag::Query, query.number, query.customer, query.cost});
 }
 
-json encode(const QuotaAnswer &answer)
+json encode(const QuotaReply &reply)
 {
     return json::array(
-        {Tag::Answer, answer.number, answer.isGranted, answer.comeBackMillis, answer.level});
+        {Tag::Reply, reply.number, reply.isGranted, reply.retryAfterMillis, reply.level});
 }
 
 json encode(const QuotaCharge &charge)
@@ -28,23 +28,23 @@
     return json::array({Tag::Charge, charge.customer, charge.cost, charge.isGivenBack});
 }
 
-std::optional<QuotaMessage> take(CborArray &message)
+std::optional<QuotaMessage> decodeMessage(CborArray &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
-    case Tag::Question: {
-        QuotaQuestion question;
-        question.number = message.number();
-        question.customer = message.name(Limits::customerBytes);
-        question.cost = message.number(Limits::cost);
-        return question;
+    case Tag::Query: {
+        QuotaQuery query;
+        query.number = message.number();
+        query.customer = message.name(Limits::customerBytes);
+        query.cost = message.number(Limits::cost);
+        return query;
     }
-    case Tag::Answer: {
-        QuotaAnswer answer;
-        answer.number = message.number();
-        answer.isGranted = message.boolean();
-        answer.comeBackMillis = message.number(Limits::millis);
-        answer.level = message.number(Limits::cost);
-        return answer;
+    case Tag::Reply: {
+        QuotaReply reply;
+        reply.number = message.number();
+        reply.isGranted = message.boolean();
+        reply.retryAfterMillis = message.number(Limits::millis);
+        reply.level = message.number(Limits::cost);
+        return reply;
     }
     case Tag::Charge: {
         QuotaCharge charge;
@@ -66,7 +66,7 @@
 
 std::optional<QuotaMessage> decodeQuotaMessage(const std::string &frame)
 {
-    return decodeFrame(frame, take);
+    return decodeFrame(frame, decodeMessage);
 }
 
 } // namespace cuminrail
--- a/modules/quotas/messages/QuotaMessages.h
+++ b/modules/quotas/messages/QuotaMessages.h
@@ -7,27 +7,27 @@
 
 namespace cuminrail {
 
-/** "May this customer use so much?" */
-struct QuotaQuestion
+/** Asks the owner for a grant from a customer's quota. */
+struct QuotaQuery
 {
-    /** The asker's number, repeated in the answer. */
+    /** Number assigned by the sender of the query, repeated in the reply. */
     std::uint64_t number = 0;
     std::string customer;
     /** In the quota's unit. */
     std::uint64_t cost = 0;
 };
 
-struct QuotaAnswer
+struct QuotaReply
 {
     std::uint64_t number = 0;
     bool isGranted = false;
-    /** Milliseconds after which to come back; 0 where that is no use. */
-    std::uint64_t comeBackMillis = 0;
-    /** What the customer's bucket holds, for the asker's log; 0 while it is in debt. */
+    /** Milliseconds after which to retry; 0 where a retry is of no use. */
+    std::uint64_t retryAfterMillis = 0;
+    /** Level of the customer's bucket, for the querying instance's log; 0 while it is in debt. */
     std::uint64_t level = 0;
 };
 
-/** "This customer used so much without my asking", or did not use what was granted. */
+/** Announces a customer's use that was granted without a query, or returns an unused grant. */
 struct QuotaCharge
 {
     std::string customer;
@@ -35,9 +35,9 @@
     bool isGivenBack = false;
 };
 
-using QuotaMessage = std::variant<QuotaQuestion, QuotaAnswer, QuotaCharge>;
+using QuotaMessage = std::variant<QuotaQuery, QuotaReply, QuotaCharge>;
 
-/** Bounds on what a message may hold. */
+/** Upper bounds of message fields. */
 struct QuotaMessageLimits
 {
     static constexpr std::size_t customerBytes = 256;
@@ -47,7 +47,7 @@
 
 /** Encodes a message as a frame for another instance. */
 std::string encodeQuotaMessage(const QuotaMessage &message);
-/** Returns nothing for what is no message of a known format, whole and within bounds. */
+/** Returns nothing unless the frame is a complete message of a known format within bounds. */
 std::optional<QuotaMessage> decodeQuotaMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/quotas/messages/QuotaMessages_test.cpp
+++ b/modules/quotas/messages/QuotaMessages_test.cpp
@@ -4,26 +4,26 @@
 
 using namespace cuminrail;
 
-TEST_CASE("each message reads back as it was written")
+TEST_CASE("each quota message decodes to what was encoded")
 {
-    const auto question = decodeQuotaMessage(encodeQuotaMessage(QuotaQuestion{7, "north", 17020}));
-    REQUIRE(question);
-    CHECK(std::get<QuotaQuestion>(*question).number == 7);
-    CHECK(std::get<QuotaQuestion>(*question).customer == "north");
-    CHECK(std::get<QuotaQuestion>(*question).cost == 17020);
-    const auto answer = decodeQuotaMessage(encodeQuotaMessage(QuotaAnswer{7, false, 350, 12}));
-    REQUIRE(answer);
-    CHECK_FALSE(std::get<QuotaAnswer>(*answer).isGranted);
-    CHECK(std::get<QuotaAnswer>(*answer).comeBackMillis == 350);
-    CHECK(std::get<QuotaAnswer>(*answer).level == 12);
+    const auto query = decodeQuotaMessage(encodeQuotaMessage(QuotaQuery{7, "north", 17020}));
+    REQUIRE(query);
+    CHECK(std::get<QuotaQuery>(*query).number == 7);
+    CHECK(std::get<QuotaQuery>(*query).customer == "north");
+    CHECK(std::get<QuotaQuery>(*query).cost == 17020);
+    const auto reply = decodeQuotaMessage(encodeQuotaMessage(QuotaReply{7, false, 350, 12}));
+    REQUIRE(reply);
+    CHECK_FALSE(std::get<QuotaReply>(*reply).isGranted);
+    CHECK(std::get<QuotaReply>(*reply).retryAfterMillis == 350);
+    CHECK(std::get<QuotaReply>(*reply).level == 12);
     const auto charge = decodeQuotaMessage(encodeQuotaMessage(QuotaCharge{"north", 200, true}));
     REQUIRE(charge);
     CHECK(std::get<QuotaCharge>(*charge).cost == 200);
     CHECK(std::get<QuotaCharge>(*charge).isGivenBack);
 }
 
-// Guards against frames of other formats, cut short or out of bounds, that would be taken for use.
-TEST_CASE("what is no whole message within bounds is refused")
+// Guards against truncated, foreign or out-of-bounds frames that would be charged as use.
+TEST_CASE("incomplete or out-of-bounds quota messages are rejected")
 {
     const std::string good = encodeQuotaMessage(QuotaCharge{"north", 200, false});
     for (std::size_t length = 0; length < good.size(); ++length)
--- a/modules/quotas/testing/QuotaCluster.h
+++ b/modules/quotas/testing/QuotaCluster.h
@@ -15,8 +15,9 @@
 namespace cuminrail::testing {
 
 /**
-    Instances in virtual time that share customers' quotas, over links that a test delays, loses and
-    cuts; and a judge that knows all that ran.
+        Simulated instances in virtual time that share customer quotas over links whose frames a
+   test delays, drops or blocks. Records all requests that ran, over all instances.
+
 */
 class QuotaCluster : public FrameNetwork
 {
@@ -26,10 +27,10 @@
     {
         for (int i = 0; i < count; ++i)
             start(i);
-        pass(settling);
+        advance(settleTime);
     }
 
-    /** Starts an instance, or starts it again with nothing in its memory. */
+    /** Starts an instance, or restarts it without its state. */
     void start(int i)
     {
         if (i >= static_cast<int>(instances_.size()))
@@ -48,23 +49,23 @@
             at(i).setQuotas(quotas);
     }
 
-    /** A request arrives; it runs at the moment at which it is granted. */
+    /** A request arrives at an instance. It runs at the moment of its grant. */
     void request(int i, const std::string &customer, double cost)
     {
         if (!isRunning(i))
             return;
         offered += cost;
-        at(i).ask(customer, cost, [this, cost](const QuotaVerdict &verdict) {
-            ++results[static_cast<std::size_t>(verdict.result)];
-            if (verdict.result != QuotaResult::Granted)
+        at(i).ask(customer, cost, [this, cost](const QuotaVerdict &outcome) {
+            ++results[static_cast<std::size_t>(outcome.result)];
+            if (outcome.result != QuotaResult::Granted)
                 return;
             ran += cost;
             runs.emplace_back(now, cost);
         });
     }
 
-    /** Time passes in steps; messages arrive on the way. */
-    void pass(Millis span)
+    /** Advances the time in steps and delivers frames that are due. */
+    void advance(Millis span)
     {
         const Millis end = now + span;
         while (now < end) {
@@ -76,27 +77,27 @@
                 if (isRunning(i))
                     at(i).tick();
             }
-            if (now >= nextReach_)
-                tellReach();
+            if (now >= nextReachabilityAt_)
+                updateReachability();
         }
     }
 
-    /** Returns the most that ran within one window of the tolerance. */
+    /** Returns the greatest cost that ran within one window of the tolerance. */
     double busiestWindow() const
     {
-        double most = 0;
+        double maxSum = 0;
         double sum = 0;
         std::size_t first = 0;
         for (const auto &[at, cost] : runs) {
             sum += cost;
             while (at - runs[first].first > tolerance_.window)
                 sum -= runs[first++].second;
-            most = std::max(most, sum);
+            maxSum = std::max(maxSum, sum);
         }
-        return most;
+        return maxSum;
     }
 
-    /** Returns what the rule allows in a window. */
+    /** Returns what quota and tolerance allow in a window. */
     double allowed(const std::string &customer) const
     {
         const CustomerQuota &quota = quotas_.at(customer);
@@ -104,18 +105,18 @@
     }
 
     QuotaExchange &at(int i) { return *instances_[static_cast<std::size_t>(i)]; }
-    /** Returns which instance usually keeps a customer's bucket. */
-    int keeperOf(const std::string &customer) const
+    /** Returns the primary owner of a customer's bucket. */
+    int ownerOf(const std::string &customer) const
     {
-        return numberOf(ranking().firstOf(StableHash().add(customer).value()));
+        return numberOf(ranking().primaryOwnerOf(StableHash().add(customer).value()));
     }
 
-    /** Returns an instance that keeps no buckets. */
-    int asker() const
+    /** Returns an instance that is not an owner. */
+    int nonOwner() const
     {
-        const std::vector<PeerAddress> keepers = ranking().addresses();
+        const std::vector<PeerAddress> owners = ranking().addresses();
         int i = 0;
-        while (std::find(keepers.begin(), keepers.end(), nameOf(i)) != keepers.end())
+        while (std::find(owners.begin(), owners.end(), nameOf(i)) != owners.end())
             ++i;
         return i;
     }
@@ -127,32 +128,33 @@
 
 private:
     static constexpr Millis step = Millis(5);
-    static constexpr Millis settling = Millis::seconds(10);
-    /** A link that a cut silenced is found out and closed by then. */
-    static constexpr Millis silentLink = Millis(5000);
+    static constexpr Millis settleTime = Millis::seconds(10);
+    /** A blocked link is detected and closed within this time. */
+    static constexpr Millis linkTimeout = Millis(5000);
 
-    /** The ranking as somebody outside sees it. */
-    KeeperRanking ranking() const
+    /** The ranking with an address for every instance. */
+    OwnerRanking ranking() const
     {
         std::vector<KeeperCandidate> peers;
         peers.reserve(static_cast<std::size_t>(count_));
         for (int i = 0; i < count_; ++i)
             peers.push_back({InstanceId(nameOf(i)), nameOf(i)});
-        KeeperRanking ranking;
+        OwnerRanking ranking;
         ranking.setPeers(std::move(peers));
         return ranking;
     }
 
-    void tellReach()
+    void updateReachability()
     {
-        nextReach_ = now + Millis::seconds(1);
+        nextReachabilityAt_ = now + Millis::seconds(1);
         for (int i = 0; i < count_; ++i) {
             int linked = 0;
             for (int other = 0; other < count_; ++other) {
-                const bool isGone = dead.count(other) > 0 || isCut(i, other) || isCut(other, i);
-                Millis &since = goneSince_[{i, other}];
-                since = isGone ? (since == Millis() ? now : since) : Millis();
-                linked += since == Millis() || now - since < silentLink ? 1 : 0;
+                const bool isUnreachable =
+                    dead.count(other) > 0 || isCut(i, other) || isCut(other, i);
+                Millis &since = unreachableSince_[{i, other}];
+                since = isUnreachable ? (since == Millis() ? now : since) : Millis();
+                linked += since == Millis() || now - since < linkTimeout ? 1 : 0;
             }
             at(i).setReach(static_cast<double>(linked) / count_);
         }
@@ -162,8 +164,8 @@
     QuotaTolerance tolerance_;
     QuotaTable quotas_;
     std::vector<std::unique_ptr<QuotaExchange>> instances_;
-    std::map<std::pair<int, int>, Millis> goneSince_;
-    Millis nextReach_;
+    std::map<std::pair<int, int>, Millis> unreachableSince_;
+    Millis nextReachabilityAt_;
 };
 
 } // namespace cuminrail::testing
--- a/modules/readingbooks/book/ReadingBook.cpp
+++ b/modules/readingbooks/book/ReadingBook.cpp
@@ -18,86 +18,86 @@
 
 ReadingOffer ReadingBook::offer(const PromptChain &chain, Millis now) const
 {
-    ReadingOffer offer;
-    offer.waitMillis = waitMillis(now);
-    offer.freshTokens = double(chain.tokens) - double(parts_.cachedTokens(chain));
-    offer.heldTokens = double(readParts_.cachedTokens(chain));
-    offer.knowsParts = begunAt_ && now - *begunAt_ >= learningSpan;
-    offer.isComplete = isComplete_;
-    return offer;
+    ReadingOffer estimate;
+    estimate.waitMillis = waitMillis(now);
+    estimate.freshTokens = double(chain.tokens) - double(sentParts_.cachedTokens(chain));
+    estimate.heldTokens = double(prefilledParts_.cachedTokens(chain));
+    estimate.knowsParts = startedAt_ && now - *startedAt_ >= warmUpPeriod;
+    estimate.isComplete = isComplete_;
+    return estimate;
 }
 
-void ReadingBook::enter(const ReadingTicket &ticket, const PromptChain &chain, double freshTokens,
-                        const ReadingPace &pace, Millis now)
+void ReadingBook::enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
+                        const ReadingPace &speed, Millis now)
 {
-    forgetOld(now);
+    expireOld(now);
     // Doubled on the way, an entry would count twice and be taken back once.
-    if (readings_.count(ticket) > 0)
+    if (prefills_.count(id) > 0)
         return;
-    if (!begunAt_)
-        begunAt_ = now;
-    const double missing = double(chain.tokens) - double(parts_.cachedTokens(chain));
+    if (!startedAt_)
+        startedAt_ = now;
+    const double missing = double(chain.tokens) - double(sentParts_.cachedTokens(chain));
     const double fresh = std::min(missing, freshTokens);
-    parts_.remember(chain);
-    const double millis = fresh / std::max(pace.tokensPerMilli, 1.0);
-    const double freeAt = readings_.empty() ? asNumber(now) : std::max(freeAt_, asNumber(now));
+    sentParts_.remember(chain);
+    const double millis = fresh / std::max(speed.tokensPerMilli, 1.0);
+    const double freeAt = prefills_.empty() ? asNumber(now) : std::max(freeAt_, asNumber(now));
     freeAt_ = freeAt + millis;
-    readings_[ticket] = Reading{millis, freeAt_, pace.fixedMillis, now, chain};
+    prefills_[id] = Prefill{millis, freeAt_, speed.fixedMillis, now, chain};
 }
 
-void ReadingBook::read(const ReadingTicket &ticket, Millis now)
+void ReadingBook::read(const ReadingTicket &id, Millis now)
 {
-    const auto found = readings_.find(ticket);
-    if (found == readings_.end())
+    const auto found = prefills_.find(id);
+    if (found == prefills_.end())
         return;
-    const Reading reading = found->second;
-    readings_.erase(found);
-    readParts_.remember(reading.chain);
-    const double late = asNumber(now) - reading.fixedMillis - reading.endsAt;
-    const double shift = correctionWeight * late;
+    const Prefill prefill = found->second;
+    prefills_.erase(found);
+    prefilledParts_.remember(prefill.chain);
+    const double lateness = asNumber(now) - prefill.fixedMillis - prefill.endsAt;
+    const double shift = correctionWeight * lateness;
     freeAt_ += shift;
-    readUpTo_ = std::max(readUpTo_, reading.endsAt) + shift;
-    for (auto &[other, left] : readings_)
-        left.endsAt += shift;
+    completedUpTo_ = std::max(completedUpTo_, prefill.endsAt) + shift;
+    for (auto &[other, pending] : prefills_)
+        pending.endsAt += shift;
 }
 
-void ReadingBook::takeBack(const ReadingTicket &ticket, Millis now)
+void ReadingBook::takeBack(const ReadingTicket &id, Millis now)
 {
-    const auto found = readings_.find(ticket);
-    if (found == readings_.end())
+    const auto found = prefills_.find(id);
+    if (found == prefills_.end())
         return;
-    const Reading gone = found->second;
-    readings_.erase(found);
-    const double left = std::clamp(gone.endsAt - asNumber(now), 0.0, gone.millis);
-    freeAt_ -= left;
-    for (auto &[other, reading] : readings_) {
-        if (reading.endsAt > gone.endsAt)
-            reading.endsAt -= left;
+    const Prefill cancelled = found->second;
+    prefills_.erase(found);
+    const double remaining = std::clamp(cancelled.endsAt - asNumber(now), 0.0, cancelled.millis);
+    freeAt_ -= remaining;
+    for (auto &[other, prefill] : prefills_) {
+        if (prefill.endsAt > cancelled.endsAt)
+            prefill.endsAt -= remaining;
     }
 }
 
 double ReadingBook::waitMillis(Millis now) const
 {
-    double most = 0;
-    bool isAnyLeft = false;
-    for (const auto &[ticket, reading] : readings_) {
-        if (reading.endsAt <= readUpTo_ || isOld(reading, now))
+    double maxLateness = 0;
+    bool isAnyPending = false;
+    for (const auto &[id, prefill] : prefills_) {
+        if (prefill.endsAt <= completedUpTo_ || isExpired(prefill, now))
             continue;
-        isAnyLeft = true;
-        most = std::max(most, asNumber(now) - reading.fixedMillis - reading.endsAt);
+        isAnyPending = true;
+        maxLateness = std::max(maxLateness, asNumber(now) - prefill.fixedMillis - prefill.endsAt);
     }
-    return isAnyLeft ? std::max(0.0, freeAt_ - asNumber(now)) + most : 0;
+    return isAnyPending ? std::max(0.0, freeAt_ - asNumber(now)) + maxLateness : 0;
 }
 
-bool ReadingBook::isOld(const Reading &reading, Millis now)
+bool ReadingBook::isExpired(const Prefill &prefill, Millis now)
 {
-    return now - reading.enteredAt > longestReading;
+    return now - prefill.announcedAt > maxPrefillDuration;
 }
 
-void ReadingBook::forgetOld(Millis now)
+void ReadingBook::expireOld(Millis now)
 {
-    for (auto it = readings_.begin(); it != readings_.end();)
-        it = isOld(it->second, now) ? readings_.erase(it) : std::next(it);
+    for (auto it = prefills_.begin(); it != prefills_.end();)
+        it = isExpired(it->second, now) ? prefills_.erase(it) : std::next(it);
 }
 
 } // namespace cuminrail
--- a/modules/readingbooks/book/ReadingBook.h
+++ b/modules/readingbooks/book/ReadingBook.h
@@ -48,9 +48,9 @@
 {
 public:
     /** Entries that nobody took back are forgotten after the longest present time-out. */
-    static constexpr Millis longestReading = Millis::seconds(10);
+    static constexpr Millis maxPrefillDuration = Millis::seconds(10);
     /** A book has seen too little for this long after its first entry to speak of parts. */
-    static constexpr Millis learningSpan = Millis::seconds(10);
+    static constexpr Millis warmUpPeriod = Millis::seconds(10);
 
     /** @param isComplete  the engine has read nothing yet */
     explicit ReadingBook(bool isComplete = false) : isComplete_(isComplete) { }
@@ -61,38 +61,38 @@
         Enters a reading that is sent there; a ticket that is known changes nothing. The engine
        reads at most @c freshTokens: the sender may have it fetch a part from another engine.
     */
-    void enter(const ReadingTicket &ticket, const PromptChain &chain, double freshTokens,
-               const ReadingPace &pace, Millis now);
+    void enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
+               const ReadingPace &speed, Millis now);
     /** The prompt was read, and the answer came now. */
-    void read(const ReadingTicket &ticket, Millis now);
+    void read(const ReadingTicket &id, Millis now);
     /** The reading did not take place, or was ended. */
-    void takeBack(const ReadingTicket &ticket, Millis now);
+    void takeBack(const ReadingTicket &id, Millis now);
 
 private:
-    struct Reading
+    struct Prefill
     {
         double millis = 0;
         /** When it should be over. */
         double endsAt = 0;
         /** What its answer takes besides. */
         double fixedMillis = 0;
-        Millis enteredAt;
+        Millis announcedAt;
         PromptChain chain;
     };
 
-    void forgetOld(Millis now);
+    void expireOld(Millis now);
     double waitMillis(Millis now) const;
-    static bool isOld(const Reading &reading, Millis now);
+    static bool isExpired(const Prefill &prefill, Millis now);
 
-    std::map<ReadingTicket, Reading> readings_;
+    std::map<ReadingTicket, Prefill> prefills_;
     /** Parts that were sent there, and of these the ones that have been read. */
-    RememberedParts parts_;
-    RememberedParts readParts_;
+    RememberedParts sentParts_;
+    RememberedParts prefilledParts_;
     /** When everything entered should have been read, in milliseconds of the local clock. */
     double freeAt_ = 0;
     /** The reading that was to be over at this time is over, and so are all before it. */
-    double readUpTo_ = 0;
-    std::optional<Millis> begunAt_;
+    double completedUpTo_ = 0;
+    std::optional<Millis> startedAt_;
     bool isComplete_;
 };
 
--- a/modules/readingbooks/exchange/BookExchange.cpp
+++ b/modules/readingbooks/exchange/BookExchange.cpp
@@ -9,23 +9,23 @@
     : self_(std::move(self)), transport_(std::move(transport)), clock_(std::move(clock))
 { }
 
-ReadingBook &BookExchange::book(EngineKey engine)
+ReadingBook &BookExchange::trackerOf(EngineKey engine)
 {
-    const auto [entry, isNew] = books_.try_emplace(engine);
-    Kept &kept = entry->second;
-    if (isNew && hadReadNothing && keepers_.isOwn(engine))
-        kept.book = ReadingBook(hadReadNothing(engine, keepersSince_));
-    kept.usedAt = clock_.now();
-    return kept.book;
+    const auto [entry, isNew] = trackers_.try_emplace(engine);
+    TrackedEngine &tracked = entry->second;
+    if (isNew && hadReadNothing && owners_.ownsKey(engine))
+        tracked.tracker = ReadingBook(hadReadNothing(engine, ownersChangedAt_));
+    tracked.usedAt = clock_.now();
+    return tracked.tracker;
 }
 
 void BookExchange::setPeers(std::vector<KeeperCandidate> peers)
 {
-    if (keepers_.setPeers(std::move(peers)))
-        keepersSince_ = clock_.now();
+    if (owners_.setPeers(std::move(peers)))
+        ownersChangedAt_ = clock_.now();
 }
 
-void BookExchange::send(const PeerAddress &to, const BookMessage &message)
+void BookExchange::send(const PeerAddress &to, const PrefillMessage &message)
 {
     ++stats_.framesSent;
     transport_.send(to, encodeBookMessage(message));
@@ -35,49 +35,49 @@
                        Completion done)
 {
     const Millis now = clock_.now();
-    ++stats_.questions;
+    ++stats_.queries;
     Pending pending;
     pending.done = std::move(done);
-    pending.until = now + answerTimeout;
-    const std::size_t most = std::min(engines.size(), BookMessageLimits::engines);
-    for (std::size_t i = 0; i < most; ++i) {
-        const PeerAddress &keeper = keepers_.keeperOf(engines[i], now);
-        if (keeper.empty())
-            pending.offers[engines[i]] = book(engines[i]).offer(chain, now);
+    pending.deadline = now + replyTimeout;
+    const std::size_t engineCount = std::min(engines.size(), PrefillMessageLimits::engines);
+    for (std::size_t i = 0; i < engineCount; ++i) {
+        const PeerAddress &owner = owners_.ownerOf(engines[i], now);
+        if (owner.empty())
+            pending.estimates[engines[i]] = trackerOf(engines[i]).offer(chain, now);
         else
-            pending.asked[keeper].push_back(engines[i]);
+            pending.awaited[owner].push_back(engines[i]);
     }
-    if (pending.asked.empty())
-        return pending.done(pending.offers);
+    if (pending.awaited.empty())
+        return pending.done(pending.estimates);
     const std::uint64_t number = nextNumber_++;
-    const auto asked = pending.asked;
+    const auto awaited = pending.awaited;
     pending_[number] = std::move(pending);
-    for (const auto &[keeper, theirs] : asked)
-        send(keeper, BookQuestion{number, chain, theirs});
+    for (const auto &[owner, keys] : awaited)
+        send(owner, PrefillQuery{number, chain, keys});
 }
 
 BookExchange::Entry BookExchange::enter(const PromptChain &chain, EngineKey engine,
-                                        double freshTokens, const ReadingPace &pace)
+                                        double freshTokens, const ReadingPace &speed)
 {
     const Millis now = clock_.now();
-    Entry entry{nextNumber_++, engine, keepers_.keeperOf(engine, now)};
-    if (entry.keeper.empty())
-        book(engine).enter({self_, entry.number}, chain, freshTokens, pace, now);
+    Entry entry{nextNumber_++, engine, owners_.ownerOf(engine, now)};
+    if (entry.owner.empty())
+        trackerOf(engine).enter({self_, entry.number}, chain, freshTokens, speed, now);
     else
-        send(entry.keeper, BookEntry{entry.number, engine, chain, freshTokens, pace});
+        send(entry.owner, PrefillStart{entry.number, engine, chain, freshTokens, speed});
     return entry;
 }
 
-void BookExchange::end(Entry &entry, bool wasRead)
+void BookExchange::finishEntry(Entry &entry, bool wasPrefilled)
 {
     const Entry ended = std::exchange(entry, Entry());
     if (!ended.isSet())
         return;
-    const BookEnd message{ended.number, ended.engine, wasRead};
-    if (ended.keeper.empty())
-        on(self_, message);
+    const BookEnd message{ended.number, ended.engine, wasPrefilled};
+    if (ended.owner.empty())
+        handle(self_, message);
     else
-        send(ended.keeper, message);
+        send(ended.owner, message);
 }
 
 bool BookExchange::received(const PeerAddress &from, const std::string &frame)
@@ -87,83 +87,83 @@
         ++stats_.framesRefused;
         return false;
     }
-    std::visit([&](const auto &each) { on(from, each); }, *message);
+    std::visit([&](const auto &each) { handle(from, each); }, *message);
     return true;
 }
 
-void BookExchange::on(const PeerAddress &from, const BookQuestion &question)
+void BookExchange::handle(const PeerAddress &from, const PrefillQuery &query)
 {
-    BookAnswer answer;
-    answer.number = question.number;
-    for (const EngineKey engine : question.engines)
-        answer.offers.push_back(book(engine).offer(question.chain, clock_.now()));
-    send(from, answer);
+    PrefillReply reply;
+    reply.number = query.number;
+    for (const EngineKey engine : query.engines)
+        reply.estimates.push_back(trackerOf(engine).offer(query.chain, clock_.now()));
+    send(from, reply);
 }
 
-void BookExchange::on(const PeerAddress &from, const BookAnswer &answer)
+void BookExchange::handle(const PeerAddress &from, const PrefillReply &reply)
 {
-    keepers_.answered(from);
-    const auto found = pending_.find(answer.number);
+    owners_.recordReply(from);
+    const auto found = pending_.find(reply.number);
     if (found == pending_.end())
         return;
     Pending &pending = found->second;
-    const auto asked = pending.asked.find(from);
-    if (asked == pending.asked.end() || asked->second.size() != answer.offers.size())
+    const auto awaited = pending.awaited.find(from);
+    if (awaited == pending.awaited.end() || awaited->second.size() != reply.estimates.size())
         return;
-    for (std::size_t i = 0; i < answer.offers.size(); ++i)
-        pending.offers[asked->second[i]] = answer.offers[i];
-    pending.asked.erase(asked);
-    if (pending.asked.empty())
-        finish(answer.number);
+    for (std::size_t i = 0; i < reply.estimates.size(); ++i)
+        pending.estimates[awaited->second[i]] = reply.estimates[i];
+    pending.awaited.erase(awaited);
+    if (pending.awaited.empty())
+        complete(reply.number);
 }
 
-void BookExchange::on(const PeerAddress &from, const BookEntry &entry)
+void BookExchange::handle(const PeerAddress &from, const PrefillStart &entry)
 {
-    book(entry.engine)
-        .enter({from, entry.number}, entry.chain, entry.freshTokens, entry.pace, clock_.now());
+    trackerOf(entry.engine)
+        .enter({from, entry.number}, entry.chain, entry.freshTokens, entry.speed, clock_.now());
 }
 
-void BookExchange::on(const PeerAddress &from, const BookEnd &end)
+void BookExchange::handle(const PeerAddress &from, const BookEnd &end)
 {
-    const ReadingTicket ticket{from, end.number};
-    if (end.wasRead)
-        book(end.engine).read(ticket, clock_.now());
+    const ReadingTicket id{from, end.number};
+    if (end.wasPrefilled)
+        trackerOf(end.engine).read(id, clock_.now());
     else
-        book(end.engine).takeBack(ticket, clock_.now());
+        trackerOf(end.engine).takeBack(id, clock_.now());
 }
 
-void BookExchange::finish(std::uint64_t number)
+void BookExchange::complete(std::uint64_t number)
 {
     const auto found = pending_.find(number);
     const Pending pending = std::move(found->second);
     pending_.erase(found);
-    pending.done(pending.offers);
+    pending.done(pending.estimates);
 }
 
 void BookExchange::tick()
 {
     const Millis now = clock_.now();
-    std::vector<std::uint64_t> over;
+    std::vector<std::uint64_t> timedOut;
     for (const auto &[number, pending] : pending_) {
-        if (now >= pending.until)
-            over.push_back(number);
+        if (now >= pending.deadline)
+            timedOut.push_back(number);
     }
-    for (const std::uint64_t number : over) {
-        for (const auto &[keeper, engines] : pending_[number].asked) {
+    for (const std::uint64_t number : timedOut) {
+        for (const auto &[owner, engines] : pending_[number].awaited) {
             ++stats_.unanswered;
-            keepers_.leftUnanswered(keeper, now);
+            owners_.recordMissedReply(owner, now);
         }
-        finish(number);
+        complete(number);
     }
-    if (now >= nextDrop_)
-        dropOldBooks(now);
+    if (now >= nextDropAt_)
+        dropIdleTrackers(now);
 }
 
-void BookExchange::dropOldBooks(Millis now)
+void BookExchange::dropIdleTrackers(Millis now)
 {
-    nextDrop_ = now + bookIdle / 4;
-    for (auto it = books_.begin(); it != books_.end();)
-        it = now - it->second.usedAt > bookIdle ? books_.erase(it) : std::next(it);
+    nextDropAt_ = now + trackerIdleTimeout / 4;
+    for (auto it = trackers_.begin(); it != trackers_.end();)
+        it = now - it->second.usedAt > trackerIdleTimeout ? trackers_.erase(it) : std::next(it);
 }
 
 } // namespace cuminrail
--- a/modules/readingbooks/exchange/BookExchange.h
+++ b/modules/readingbooks/exchange/BookExchange.h
@@ -12,9 +12,9 @@
 namespace cuminrail {
 
 /** Counters since the start. */
-struct BookExchangeStats
+struct PrefillExchangeStats
 {
-    std::uint64_t questions = 0;
+    std::uint64_t queries = 0;
     /** Questions to other instances that were not answered in time. */
     std::uint64_t unanswered = 0;
     std::uint64_t framesSent = 0;
@@ -39,21 +39,21 @@
         machine that used up its share of a processor answers up to 100 ms later, which is a
         quarter of the tightest present goal and not worth waiting for.
     */
-    static constexpr Millis answerTimeout = Millis(15);
+    static constexpr Millis replyTimeout = Millis(15);
     /** A book that nobody used for so long is dropped; its engine is gone. */
-    static constexpr Millis bookIdle = Millis::seconds(60);
+    static constexpr Millis trackerIdleTimeout = Millis::seconds(60);
 
     /** Names an entry that was made; empty when none was. */
     struct Entry
     {
         std::uint64_t number = 0;
         EngineKey engine = 0;
-        PeerAddress keeper;
+        PeerAddress owner;
 
         bool isSet() const { return number != 0; }
     };
     using Offers = std::unordered_map<EngineKey, ReadingOffer>;
-    using Completion = std::function<void(const Offers &offers)>;
+    using Completion = std::function<void(const Offers &estimates)>;
 
     BookExchange(std::string self, PeerTransport transport, Clock clock);
 
@@ -67,9 +67,9 @@
     */
     std::function<bool(EngineKey engine, Millis at)> hadReadNothing;
     /** An engine is gone, or began another life: it holds nothing of what was entered. */
-    void forget(EngineKey engine) { books_.erase(engine); }
+    void forget(EngineKey engine) { trackers_.erase(engine); }
     /** Links of the other instances that keep books, to be held ready. */
-    std::vector<PeerAddress> keepers() const { return keepers_.addresses(); }
+    std::vector<PeerAddress> keepers() const { return owners_.addresses(); }
 
     /**
         Asks what a prompt would meet at engines. The completion is called once, with what is known
@@ -79,11 +79,11 @@
     void ask(const PromptChain &chain, const std::vector<EngineKey> &engines, Completion done);
     /** The prompt is being sent to an engine. */
     Entry enter(const PromptChain &chain, EngineKey engine, double freshTokens,
-                const ReadingPace &pace);
+                const ReadingPace &speed);
     /** Its prompt was read. Clears the entry. */
-    void read(Entry &entry) { end(entry, true); }
+    void read(Entry &entry) { finishEntry(entry, true); }
     /** It will not be read there. Clears the entry. */
-    void takeBack(Entry &entry) { end(entry, false); }
+    void takeBack(Entry &entry) { finishEntry(entry, false); }
 
     /** A frame came from another instance. Returns false if it is no message. */
     bool received(const PeerAddress &from, const std::string &frame);
@@ -92,46 +92,46 @@
     /** Ends questions whose time is over; to be called every few milliseconds. */
     void tick();
 
-    const BookExchangeStats &stats() const { return stats_; }
-    std::size_t books() const { return books_.size(); }
+    const PrefillExchangeStats &stats() const { return stats_; }
+    std::size_t trackerCount() const { return trackers_.size(); }
 
 private:
     struct Pending
     {
         Completion done;
-        Offers offers;
+        Offers estimates;
         /** Engines of which each keeper was asked. */
-        std::map<PeerAddress, std::vector<EngineKey>> asked;
-        Millis until;
+        std::map<PeerAddress, std::vector<EngineKey>> awaited;
+        Millis deadline;
     };
-    struct Kept
+    struct TrackedEngine
     {
-        ReadingBook book;
+        ReadingBook tracker;
         Millis usedAt;
     };
 
-    ReadingBook &book(EngineKey engine);
-    void send(const PeerAddress &to, const BookMessage &message);
-    void end(Entry &entry, bool wasRead);
-    void finish(std::uint64_t number);
-    void dropOldBooks(Millis now);
+    ReadingBook &trackerOf(EngineKey engine);
+    void send(const PeerAddress &to, const PrefillMessage &message);
+    void finishEntry(Entry &entry, bool wasPrefilled);
+    void complete(std::uint64_t number);
+    void dropIdleTrackers(Millis now);
 
-    void on(const PeerAddress &from, const BookQuestion &question);
-    void on(const PeerAddress &from, const BookAnswer &answer);
-    void on(const PeerAddress &from, const BookEntry &entry);
-    void on(const PeerAddress &from, const BookEnd &end);
+    void handle(const PeerAddress &from, const PrefillQuery &query);
+    void handle(const PeerAddress &from, const PrefillReply &reply);
+    void handle(const PeerAddress &from, const PrefillStart &entry);
+    void handle(const PeerAddress &from, const BookEnd &end);
 
     std::string self_;
     PeerTransport transport_;
     Clock clock_;
-    KeeperRanking keepers_;
+    OwnerRanking owners_;
     /** When the keepers changed last, and books with them. */
-    Millis keepersSince_;
-    std::unordered_map<EngineKey, Kept> books_;
+    Millis ownersChangedAt_;
+    std::unordered_map<EngineKey, TrackedEngine> trackers_;
     std::map<std::uint64_t, Pending> pending_;
     std::uint64_t nextNumber_ = 1;
-    Millis nextDrop_;
-    BookExchangeStats stats_;
+    Millis nextDropAt_;
+    PrefillExchangeStats stats_;
 };
 
 } // namespace cuminrail
--- a/modules/readingbooks/exchange/BookExchange_test.cpp
+++ b/modules/readingbooks/exchange/BookExchange_test.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr ReadingPace pace{50, 100};
-constexpr double everything = 1e9;
+constexpr ReadingPace speed{50, 100};
+constexpr double allTokens = 1e9;
 constexpr EngineKey engines[] = {11, 22, 33, 44, 55, 66};
 
 PromptChain chainOf(std::uint64_t shared, std::uint64_t own)
@@ -32,7 +32,7 @@
         for (int i = 0; i < count; ++i)
             start(i);
         for (int i = 0; i < count; ++i)
-            introduce(i, count);
+            setPeersOf(i, count);
     }
 
     /** Starts an instance, or starts it again with nothing in its memory. */
@@ -42,7 +42,7 @@
         transport.send = [this, i](const PeerAddress &to, const std::string &frame) {
             if (dead.count(name(i)) > 0 || dead.count(to) > 0 || (random_() % 100) < lossPercent)
                 return;
-            const int copies = (random_() % 100) < doublePercent ? 2 : 1;
+            const int copies = (random_() % 100) < duplicatePercent ? 2 : 1;
             for (int copy = 0; copy < copies; ++copy)
                 frames_.push_back({name(i), to, frame});
         };
@@ -50,7 +50,7 @@
             std::make_unique<BookExchange>(name(i), transport, Clock([this] { return now; }));
     }
 
-    void introduce(int self, int count)
+    void setPeersOf(int self, int count)
     {
         std::vector<KeeperCandidate> peers{{InstanceId(name(self)), {}}};
         for (int i = 0; i < count; ++i) {
@@ -61,7 +61,7 @@
     }
 
     /** Time passes; what is on the way arrives first. */
-    void pass(Millis span)
+    void advance(Millis span)
     {
         while (!frames_.empty()) {
             const Frame frame = frames_.front();
@@ -79,17 +79,17 @@
     /** Asks for all engines; returns what the asker got, by the time that the question ended. */
     BookExchange::Offers ask(int i, const PromptChain &chain)
     {
-        BookExchange::Offers got;
+        BookExchange::Offers received;
         int completions = 0;
         instances[name(i)]->ask(chain, {std::begin(engines), std::end(engines)},
-                                [&](const BookExchange::Offers &offers) {
-                                    got = offers;
+                                [&](const BookExchange::Offers &estimates) {
+                                    received = estimates;
                                     ++completions;
                                 });
         for (int step = 0; step < 10; ++step)
-            pass(Millis(5));
+            advance(Millis(5));
         CHECK(completions == 1);
-        return got;
+        return received;
     }
 
     BookExchange &at(int i) { return *instances[name(i)]; }
@@ -98,7 +98,7 @@
     Millis now = Millis(100000);
     std::set<std::string> dead;
     unsigned lossPercent = 0;
-    unsigned doublePercent = 0;
+    unsigned duplicatePercent = 0;
     std::map<std::string, std::unique_ptr<BookExchange>> instances;
 
 private:
@@ -118,14 +118,14 @@
 TEST_CASE("what one instance sends to an engine is known to all")
 {
     Network network(5);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, everything, pace);
-    network.pass(Millis(1));
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    network.advance(Millis(1));
     for (int i = 0; i < 5; ++i) {
         CAPTURE(i);
-        const auto offers = network.ask(i, chainOf(1, 9));
-        REQUIRE(offers.size() == std::size(engines));
-        CHECK(offers.at(33).freshTokens == doctest::Approx(2000));
-        CHECK(offers.at(22).freshTokens == doctest::Approx(12000));
+        const auto estimates = network.ask(i, chainOf(1, 9));
+        REQUIRE(estimates.size() == std::size(engines));
+        CHECK(estimates.at(33).freshTokens == doctest::Approx(2000));
+        CHECK(estimates.at(22).freshTokens == doctest::Approx(12000));
     }
     network.at(0).read(entry);
     CHECK_FALSE(entry.isSet());
@@ -134,16 +134,16 @@
 TEST_CASE("books are spread over all instances, and each is kept by one")
 {
     Network network(8);
-    std::set<PeerAddress> keepers;
+    std::set<PeerAddress> owners;
     for (std::uint64_t engine = 1; engine <= 100; ++engine) {
-        auto entry = network.at(0).enter(chainOf(1, 2), engine, everything, pace);
-        auto same = network.at(1).enter(chainOf(3, 4), engine, everything, pace);
-        const PeerAddress one = entry.keeper.empty() ? Network::name(0) : entry.keeper;
-        const PeerAddress other = same.keeper.empty() ? Network::name(1) : same.keeper;
+        auto entry = network.at(0).enter(chainOf(1, 2), engine, allTokens, speed);
+        auto same = network.at(1).enter(chainOf(3, 4), engine, allTokens, speed);
+        const PeerAddress one = entry.owner.empty() ? Network::name(0) : entry.owner;
+        const PeerAddress other = same.owner.empty() ? Network::name(1) : same.owner;
         CHECK(one == other);
-        keepers.insert(one);
+        owners.insert(one);
     }
-    CHECK(keepers.size() == 8);
+    CHECK(owners.size() == 8);
 }
 
 // The keeper of a book dies and stays in the registry for a minute. Requests would wait for it at
@@ -151,45 +151,45 @@
 TEST_CASE("a keeper that leaves questions unanswered is passed over, and its books taken over")
 {
     Network network(4);
-    const auto entry = network.at(0).enter(chainOf(1, 2), 33, everything, pace);
-    const PeerAddress keeper = entry.keeper.empty() ? Network::name(0) : entry.keeper;
-    const int asker = keeper == Network::name(1) ? 2 : 1;
-    network.dead.insert(keeper);
-    network.ask(asker, chainOf(5, 6));
-    network.ask(asker, chainOf(5, 6));
-    const std::uint64_t unanswered = network.at(asker).stats().unanswered;
+    const auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
+    const int querier = owner == Network::name(1) ? 2 : 1;
+    network.dead.insert(owner);
+    network.ask(querier, chainOf(5, 6));
+    network.ask(querier, chainOf(5, 6));
+    const std::uint64_t unanswered = network.at(querier).stats().unanswered;
     CHECK(unanswered >= 2);
-    const auto offers = network.ask(asker, chainOf(5, 6));
-    CHECK(offers.size() == std::size(engines));
-    CHECK(network.at(asker).stats().unanswered == unanswered);
-    auto next = network.at(asker).enter(chainOf(5, 6), 33, everything, pace);
-    CHECK(next.keeper != keeper);
+    const auto estimates = network.ask(querier, chainOf(5, 6));
+    CHECK(estimates.size() == std::size(engines));
+    CHECK(network.at(querier).stats().unanswered == unanswered);
+    auto next = network.at(querier).enter(chainOf(5, 6), 33, allTokens, speed);
+    CHECK(next.owner != owner);
     // Once it answers again, it keeps its books again.
     network.dead.clear();
-    network.pass(KeeperRanking::passedOverFor);
-    CHECK(network.ask(asker, chainOf(5, 6)).size() == std::size(engines));
-    CHECK(network.at(asker).enter(chainOf(7, 8), 33, everything, pace).keeper == keeper);
+    network.advance(OwnerRanking::exclusionPeriod);
+    CHECK(network.ask(querier, chainOf(5, 6)).size() == std::size(engines));
+    CHECK(network.at(querier).enter(chainOf(7, 8), 33, allTokens, speed).owner == owner);
 }
 
 TEST_CASE("an instance that starts again keeps its books from nothing")
 {
     Network network(3);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, everything, pace);
-    const PeerAddress keeper = entry.keeper.empty() ? Network::name(0) : entry.keeper;
-    network.pass(Millis(1));
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
+    network.advance(Millis(1));
     for (int i = 0; i < 3; ++i) {
-        if (Network::name(i) == keeper) {
+        if (Network::name(i) == owner) {
             network.start(i);
-            network.introduce(i, 3);
+            network.setPeersOf(i, 3);
         }
     }
-    const auto offers = network.ask(1, chainOf(1, 9));
-    REQUIRE(offers.count(33) == 1);
-    CHECK(offers.at(33).waitMillis == doctest::Approx(0));
-    CHECK_FALSE(offers.at(33).knowsParts);
+    const auto estimates = network.ask(1, chainOf(1, 9));
+    REQUIRE(estimates.count(33) == 1);
+    CHECK(estimates.at(33).waitMillis == doctest::Approx(0));
+    CHECK_FALSE(estimates.at(33).knowsParts);
     // The end of an entry that the new life never had changes nothing.
     network.at(0).read(entry);
-    network.pass(Millis(1));
+    network.advance(Millis(1));
     CHECK(network.ask(1, chainOf(1, 9)).at(33).waitMillis == doctest::Approx(0));
 }
 
@@ -199,11 +199,11 @@
 {
     Network network(3);
     const Millis start = network.now;
-    network.pass(Millis(1000));
-    std::vector<Millis> asked;
+    network.advance(Millis(1000));
+    std::vector<Millis> queriedAt;
     for (int i = 0; i < 3; ++i) {
-        network.at(i).hadReadNothing = [&asked](EngineKey engine, Millis at) {
-            asked.push_back(at);
+        network.at(i).hadReadNothing = [&queriedAt](EngineKey engine, Millis at) {
+            queriedAt.push_back(at);
             return engine != 22;
         };
     }
@@ -211,22 +211,23 @@
     for (const EngineKey engine : engines)
         CHECK(before.at(engine).isComplete == (engine != 22));
     // The instances have been the same since the start.
-    CHECK(std::all_of(asked.begin(), asked.end(), [start](Millis at) { return at == start; }));
+    CHECK(std::all_of(queriedAt.begin(), queriedAt.end(),
+                      [start](Millis at) { return at == start; }));
     // One keeper is silent: whoever takes its books over has none of what was entered there.
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, everything, pace);
-    const PeerAddress keeper = entry.keeper.empty() ? Network::name(0) : entry.keeper;
-    const int asker = keeper == Network::name(1) ? 2 : 1;
-    network.dead.insert(keeper);
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
+    const int querier = owner == Network::name(1) ? 2 : 1;
+    network.dead.insert(owner);
     for (int i = 0; i < 3; ++i)
-        network.ask(asker, chainOf(3, 4));
-    CHECK_FALSE(network.ask(asker, chainOf(5, 6)).at(33).isComplete);
+        network.ask(querier, chainOf(3, 4));
+    CHECK_FALSE(network.ask(querier, chainOf(5, 6)).at(33).isComplete);
 }
 
 TEST_CASE("an engine that starts again holds nothing of what was entered")
 {
     Network network(1);
     network.at(0).hadReadNothing = [](EngineKey, Millis) { return true; };
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, everything, pace);
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
     network.at(0).read(entry);
     CHECK(network.ask(0, chainOf(1, 9)).at(33).freshTokens == doctest::Approx(2000));
     network.at(0).forget(33);
@@ -239,25 +240,25 @@
 {
     Network network(6);
     network.lossPercent = 30;
-    network.doublePercent = 20;
+    network.duplicatePercent = 20;
     const RandomHook random = seededRandom(9);
     std::vector<BookExchange::Entry> open;
     for (int round = 0; round < 300; ++round) {
         const int instance = static_cast<int>(random() % 6);
         network.ask(instance, chainOf(random() % 5, random()));
         open.push_back(network.at(instance).enter(chainOf(random() % 5, random()),
-                                                  engines[random() % 6], everything, pace));
+                                                  engines[random() % 6], allTokens, speed));
         if (random() % 2 == 0)
             network.at(instance).read(open.back());
     }
     network.lossPercent = 0;
-    network.doublePercent = 0;
-    network.pass(ReadingBook::longestReading + Millis(1));
-    network.pass(KeeperRanking::passedOverFor);
-    const auto offers = network.ask(0, chainOf(1, 2));
-    CHECK(offers.size() == std::size(engines));
-    for (const auto &[engine, offer] : offers)
-        CHECK(offer.waitMillis == doctest::Approx(0));
+    network.duplicatePercent = 0;
+    network.advance(ReadingBook::maxPrefillDuration + Millis(1));
+    network.advance(OwnerRanking::exclusionPeriod);
+    const auto estimates = network.ask(0, chainOf(1, 2));
+    CHECK(estimates.size() == std::size(engines));
+    for (const auto &[engine, estimate] : estimates)
+        CHECK(estimate.waitMillis == doctest::Approx(0));
 }
 
 TEST_CASE("answers that were not asked for, late or of another size are left alone")
@@ -268,14 +269,14 @@
     network.dead.insert(other);
     network.at(0).ask(chainOf(1, 2), {std::begin(engines), std::end(engines)},
                       [&](const BookExchange::Offers &) { ++completions; });
-    CHECK(network.at(0).received(other, encodeBookMessage(BookAnswer{1, {}})));
-    CHECK(
-        network.at(0).received("10.9.9.9:1", encodeBookMessage(BookAnswer{1, {{1, 1, 0, true}}})));
-    CHECK(network.at(0).received(other, encodeBookMessage(BookAnswer{77, {{1, 1, 0, true}}})));
+    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{1, {}})));
+    CHECK(network.at(0).received("10.9.9.9:1",
+                                 encodeBookMessage(PrefillReply{1, {{1, 1, 0, true}}})));
+    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{77, {{1, 1, 0, true}}})));
     CHECK(completions == 0);
-    network.pass(BookExchange::answerTimeout);
+    network.advance(BookExchange::replyTimeout);
     CHECK(completions == 1);
-    CHECK(network.at(0).received(other, encodeBookMessage(BookAnswer{1, {{1, 1, 0, true}}})));
+    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{1, {{1, 1, 0, true}}})));
     CHECK(completions == 1);
     CHECK_FALSE(network.at(0).received(other, "nonsense"));
     CHECK(network.at(0).stats().framesRefused == 1);
@@ -284,9 +285,9 @@
 TEST_CASE("books that nobody uses are dropped")
 {
     Network network(1);
-    network.at(0).enter(chainOf(1, 2), 33, everything, pace);
-    CHECK(network.at(0).books() == 1);
-    network.pass(BookExchange::bookIdle + Millis(1));
-    network.pass(Millis(1));
-    CHECK(network.at(0).books() == 0);
+    network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    CHECK(network.at(0).trackerCount() == 1);
+    network.advance(BookExchange::trackerIdleTimeout + Millis(1));
+    network.advance(Millis(1));
+    CHECK(network.at(0).trackerCount() == 0);
 }
--- a/modules/readingbooks/messages/BookMessages.cpp
+++ b/modules/readingbooks/messages/BookMessages.cpp
@@ -12,38 +12,38 @@
 using nlohmann::json;
 
 /** The first element of each frame: format and kind. Another format is refused whole. */
-enum class Tag : std::uint8_t { Question = 0x11, Answer = 0x12, Entry = 0x13, End = 0x14 };
+enum class Tag : std::uint8_t { Query = 0x11, Reply = 0x12, Start = 0x13, End = 0x14 };
 
 /** Fractions are not needed; rates have two digits after the point. */
-constexpr std::size_t elementsEachOffer = 5;
+constexpr std::size_t elementsPerEstimate = 5;
 constexpr double rateUnit = 100;
-constexpr std::uint64_t mostMillis = 1'000'000;
-constexpr std::uint64_t mostTokens = 100'000'000;
-constexpr std::uint64_t mostRate = 1'000'000;
+constexpr std::uint64_t maxMillis = 1'000'000;
+constexpr std::uint64_t maxTokens = 100'000'000;
+constexpr std::uint64_t maxRate = 1'000'000;
 
-std::uint64_t whole(double value, std::uint64_t most)
+std::uint64_t whole(double value, std::uint64_t maxValue)
 {
-    return static_cast<std::uint64_t>(std::clamp(std::round(value), 0.0, double(most)));
+    return static_cast<std::uint64_t>(std::clamp(std::round(value), 0.0, double(maxValue)));
 }
 
 json chainJson(const PromptChain &chain)
 {
     json links = json::array();
-    for (std::size_t i = 0; i < std::min(chain.links.size(), BookMessageLimits::links); ++i) {
+    for (std::size_t i = 0; i < std::min(chain.links.size(), PrefillMessageLimits::links); ++i) {
         links.push_back(chain.links[i].key);
         links.push_back(chain.links[i].tokens);
     }
     return links;
 }
 
-PromptChain takeChain(CborArray &message)
+PromptChain decodeChain(CborArray &message)
 {
     PromptChain chain;
-    chain.tokens = static_cast<std::uint32_t>(message.number(mostTokens));
-    CborArray links(message.list(2 * BookMessageLimits::links));
+    chain.tokens = static_cast<std::uint32_t>(message.number(maxTokens));
+    CborArray links(message.list(2 * PrefillMessageLimits::links));
     while (links.isGood() && !links.isWhole()) {
         const std::uint64_t key = links.number();
-        const auto tokens = static_cast<std::uint32_t>(links.number(mostTokens));
+        const auto tokens = static_cast<std::uint32_t>(links.number(maxTokens));
         chain.links.push_back({key, tokens});
     }
     if (!links.isGood())
@@ -51,116 +51,116 @@
     return chain;
 }
 
-json encode(const BookQuestion &question)
+json encode(const PrefillQuery &query)
 {
-    return json::array({Tag::Question, question.number, question.chain.tokens,
-                        chainJson(question.chain), question.engines});
+    return json::array(
+        {Tag::Query, query.number, query.chain.tokens, chainJson(query.chain), query.engines});
 }
 
-json encode(const BookAnswer &answer)
+json encode(const PrefillReply &reply)
 {
-    json offers = json::array();
-    for (const ReadingOffer &offer : answer.offers) {
-        offers.push_back(whole(offer.waitMillis, mostMillis));
-        offers.push_back(whole(offer.freshTokens, mostTokens));
-        offers.push_back(whole(offer.heldTokens, mostTokens));
-        offers.push_back(offer.knowsParts);
-        offers.push_back(offer.isComplete);
+    json estimates = json::array();
+    for (const ReadingOffer &estimate : reply.estimates) {
+        estimates.push_back(whole(estimate.waitMillis, maxMillis));
+        estimates.push_back(whole(estimate.freshTokens, maxTokens));
+        estimates.push_back(whole(estimate.heldTokens, maxTokens));
+        estimates.push_back(estimate.knowsParts);
+        estimates.push_back(estimate.isComplete);
     }
-    return json::array({Tag::Answer, answer.number, std::move(offers)});
+    return json::array({Tag::Reply, reply.number, std::move(estimates)});
 }
 
-json encode(const BookEntry &entry)
+json encode(const PrefillStart &start)
 {
-    return json::array({Tag::Entry, entry.number, entry.engine, entry.chain.tokens,
-                        chainJson(entry.chain), whole(entry.freshTokens, mostTokens),
-                        whole(entry.pace.tokensPerMilli * rateUnit, mostRate),
-                        whole(entry.pace.fixedMillis, mostMillis)});
+    return json::array({Tag::Start, start.number, start.engine, start.chain.tokens,
+                        chainJson(start.chain), whole(start.freshTokens, maxTokens),
+                        whole(start.speed.tokensPerMilli * rateUnit, maxRate),
+                        whole(start.speed.fixedMillis, maxMillis)});
 }
 
 json encode(const BookEnd &end)
 {
-    return json::array({Tag::End, end.number, end.engine, end.wasRead});
+    return json::array({Tag::End, end.number, end.engine, end.wasPrefilled});
 }
 
-BookQuestion takeQuestion(CborArray &message)
+PrefillQuery decodeQuery(CborArray &message)
 {
-    BookQuestion question;
-    question.number = message.number();
-    question.chain = takeChain(message);
-    CborArray engines(message.list(BookMessageLimits::engines));
+    PrefillQuery query;
+    query.number = message.number();
+    query.chain = decodeChain(message);
+    CborArray engines(message.list(PrefillMessageLimits::engines));
     while (engines.isGood() && !engines.isWhole())
-        question.engines.push_back(engines.number());
+        query.engines.push_back(engines.number());
     if (!engines.isGood())
         message.fail();
-    return question;
+    return query;
 }
 
-BookAnswer takeAnswer(CborArray &message)
+PrefillReply decodeReply(CborArray &message)
 {
-    BookAnswer answer;
-    answer.number = message.number();
-    CborArray offers(message.list(elementsEachOffer * BookMessageLimits::engines));
-    while (offers.isGood() && !offers.isWhole()) {
-        ReadingOffer offer;
-        offer.waitMillis = static_cast<double>(offers.number(mostMillis));
-        offer.freshTokens = static_cast<double>(offers.number(mostTokens));
-        offer.heldTokens = static_cast<double>(offers.number(mostTokens));
-        offer.knowsParts = offers.boolean();
-        offer.isComplete = offers.boolean();
-        answer.offers.push_back(offer);
+    PrefillReply reply;
+    reply.number = message.number();
+    CborArray estimates(message.list(elementsPerEstimate * PrefillMessageLimits::engines));
+    while (estimates.isGood() && !estimates.isWhole()) {
+        ReadingOffer estimate;
+        estimate.waitMillis = static_cast<double>(estimates.number(maxMillis));
+        estimate.freshTokens = static_cast<double>(estimates.number(maxTokens));
+        estimate.heldTokens = static_cast<double>(estimates.number(maxTokens));
+        estimate.knowsParts = estimates.boolean();
+        estimate.isComplete = estimates.boolean();
+        reply.estimates.push_back(estimate);
     }
-    if (!offers.isGood())
+    if (!estimates.isGood())
         message.fail();
-    return answer;
+    return reply;
 }
 
-BookEntry takeEntry(CborArray &message)
+PrefillStart decodeStart(CborArray &message)
 {
-    BookEntry entry;
-    entry.number = message.number();
-    entry.engine = message.number();
-    entry.chain = takeChain(message);
-    entry.freshTokens = static_cast<double>(message.number(mostTokens));
-    entry.pace.tokensPerMilli = static_cast<double>(message.number(mostRate)) / rateUnit;
-    entry.pace.fixedMillis = static_cast<double>(message.number(mostMillis));
-    return entry;
+    PrefillStart start;
+    start.number = message.number();
+    start.engine = message.number();
+    start.chain = decodeChain(message);
+    start.freshTokens = static_cast<double>(message.number(maxTokens));
+    start.speed.tokensPerMilli = static_cast<double>(message.number(maxRate)) / rateUnit;
+    start.speed.fixedMillis = static_cast<double>(message.number(maxMillis));
+    return start;
 }
 
-BookEnd takeEnd(CborArray &message)
+BookEnd decodeEnd(CborArray &message)
 {
     BookEnd end;
     end.number = message.number();
     end.engine = message.number();
-    end.wasRead = message.boolean();
+    end.wasPrefilled = message.boolean();
     return end;
 }
 
-std::optional<BookMessage> take(CborArray &message)
+std::optional<PrefillMessage> decodeMessage(CborArray &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
-    case Tag::Question:
-        return takeQuestion(message);
-    case Tag::Answer:
-        return takeAnswer(message);
-    case Tag::Entry:
-        return takeEntry(message);
+    case Tag::Query:
+        return decodeQuery(message);
+    case Tag::Reply:
+        return decodeReply(message);
+    case Tag::Start:
+        return decodeStart(message);
     case Tag::End:
-        return takeEnd(message);
+        return decodeEnd(message);
     }
     return std::nullopt;
 }
 
 } // namespace
 
-std::string encodeBookMessage(const BookMessage &message)
+std::string encodeBookMessage(const PrefillMessage &message)
 {
     return encodeCbor(std::visit([](const auto &each) { return encode(each); }, message));
 }
 
-std::optional<BookMessage> decodeBookMessage(const std::string &frame)
+std::optional<PrefillMessage> decodeBookMessage(const std::string &frame)
 {
-    return decodeFrame(frame, take);
+    return decodeFrame(frame, decodeMessage);
 }
 
 } // namespace cuminrail
--- a/modules/readingbooks/messages/BookMessages.h
+++ b/modules/readingbooks/messages/BookMessages.h
@@ -22,7 +22,7 @@
 }
 
 /** "What would this prompt meet at these engines?" */
-struct BookQuestion
+struct PrefillQuery
 {
     /** The asker's own number, repeated in the answer. */
     std::uint64_t number = 0;
@@ -31,21 +31,21 @@
 };
 
 /** One offer for each engine of the question, in its order. */
-struct BookAnswer
+struct PrefillReply
 {
     std::uint64_t number = 0;
-    std::vector<ReadingOffer> offers;
+    std::vector<ReadingOffer> estimates;
 };
 
 /** "I am sending this prompt there." */
-struct BookEntry
+struct PrefillStart
 {
     std::uint64_t number = 0;
     EngineKey engine = 0;
     PromptChain chain;
     /** What the engine is expected to read of it. */
     double freshTokens = 0;
-    ReadingPace pace;
+    ReadingPace speed;
 };
 
 /** An entry's prompt was read, or is not going to be. */
@@ -53,21 +53,21 @@
 {
     std::uint64_t number = 0;
     EngineKey engine = 0;
-    bool wasRead = false;
+    bool wasPrefilled = false;
 };
 
-using BookMessage = std::variant<BookQuestion, BookAnswer, BookEntry, BookEnd>;
+using PrefillMessage = std::variant<PrefillQuery, PrefillReply, PrefillStart, BookEnd>;
 
 /** Bounds on what a message may hold; a longer prompt is told by its first parts. */
-struct BookMessageLimits
+struct PrefillMessageLimits
 {
     static constexpr std::size_t engines = 16;
     static constexpr std::size_t links = 32;
 };
 
 /** Encodes a message as a frame for another instance. */
-std::string encodeBookMessage(const BookMessage &message);
+std::string encodeBookMessage(const PrefillMessage &message);
 /** Returns nothing for what is no message of a known format, whole and within bounds. */
-std::optional<BookMessage> decodeBookMessage(const std::string &frame);
+std::optional<PrefillMessage> decodeBookMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/readingbooks/messages/BookMessages_test.cpp
+++ b/modules/readingbooks/messages/BookMessages_test.cpp
@@ -20,15 +20,15 @@
 std::vector<std::string> samples()
 {
     return {
-        encodeBookMessage(BookQuestion{7, someChain(3), {1, 2, 0xffffffffffffffffULL}}),
-        encodeBookMessage(BookAnswer{7, {{120, 3000, 13300, true}, {0, 17020, 0, false}}}),
-        encodeBookMessage(BookEntry{8, 99, someChain(2), 3000, {61.25, 131}}),
+        encodeBookMessage(PrefillQuery{7, someChain(3), {1, 2, 0xffffffffffffffffULL}}),
+        encodeBookMessage(PrefillReply{7, {{120, 3000, 13300, true}, {0, 17020, 0, false}}}),
+        encodeBookMessage(PrefillStart{8, 99, someChain(2), 3000, {61.25, 131}}),
         encodeBookMessage(BookEnd{8, 99, true}),
     };
 }
 
 template<typename Message>
-Message decoded(const BookMessage &message)
+Message decoded(const PrefillMessage &message)
 {
     const auto back = decodeBookMessage(encodeBookMessage(message));
     REQUIRE(back);
@@ -40,32 +40,32 @@
 
 TEST_CASE("messages come back as they were sent")
 {
-    const auto question = decoded<BookQuestion>(BookQuestion{7, someChain(3), {5, 6}});
-    CHECK(question.number == 7);
-    CHECK(question.chain.tokens == 17020);
-    REQUIRE(question.chain.links.size() == 3);
-    CHECK(question.chain.links[2].key == 0xfedcba9876543212ULL);
-    CHECK(question.chain.links[2].tokens == 102);
-    CHECK(question.engines == std::vector<EngineKey>{5, 6});
-    const auto answer = decoded<BookAnswer>(BookAnswer{9, {{120.4, 3000, 13300, true}}});
-    REQUIRE(answer.offers.size() == 1);
-    CHECK(answer.offers[0].waitMillis == doctest::Approx(120));
-    CHECK(answer.offers[0].heldTokens == doctest::Approx(13300));
-    CHECK(answer.offers[0].knowsParts);
-    const auto entry = decoded<BookEntry>(BookEntry{8, 99, someChain(2), 3000, {61.25, 131}});
-    CHECK(entry.engine == 99);
-    CHECK(entry.freshTokens == doctest::Approx(3000));
-    CHECK(entry.pace.tokensPerMilli == doctest::Approx(61.25));
-    CHECK(entry.pace.fixedMillis == doctest::Approx(131));
+    const auto query = decoded<PrefillQuery>(PrefillQuery{7, someChain(3), {5, 6}});
+    CHECK(query.number == 7);
+    CHECK(query.chain.tokens == 17020);
+    REQUIRE(query.chain.links.size() == 3);
+    CHECK(query.chain.links[2].key == 0xfedcba9876543212ULL);
+    CHECK(query.chain.links[2].tokens == 102);
+    CHECK(query.engines == std::vector<EngineKey>{5, 6});
+    const auto reply = decoded<PrefillReply>(PrefillReply{9, {{120.4, 3000, 13300, true}}});
+    REQUIRE(reply.estimates.size() == 1);
+    CHECK(reply.estimates[0].waitMillis == doctest::Approx(120));
+    CHECK(reply.estimates[0].heldTokens == doctest::Approx(13300));
+    CHECK(reply.estimates[0].knowsParts);
+    const auto start = decoded<PrefillStart>(PrefillStart{8, 99, someChain(2), 3000, {61.25, 131}});
+    CHECK(start.engine == 99);
+    CHECK(start.freshTokens == doctest::Approx(3000));
+    CHECK(start.speed.tokensPerMilli == doctest::Approx(61.25));
+    CHECK(start.speed.fixedMillis == doctest::Approx(131));
     const auto end = decoded<BookEnd>(BookEnd{8, 99, true});
-    CHECK(end.wasRead);
+    CHECK(end.wasPrefilled);
 }
 
 TEST_CASE("a prompt of many parts is told by its first ones")
 {
-    const auto entry = decoded<BookEntry>(BookEntry{8, 99, someChain(200), 3000, {60, 45}});
-    CHECK(entry.chain.links.size() == BookMessageLimits::links);
-    CHECK(entry.chain.tokens == 17020);
+    const auto start = decoded<PrefillStart>(PrefillStart{8, 99, someChain(200), 3000, {60, 45}});
+    CHECK(start.chain.links.size() == PrefillMessageLimits::links);
+    CHECK(start.chain.tokens == 17020);
 }
 
 TEST_CASE("what is no message is refused whole")
@@ -87,7 +87,7 @@
         CHECK_FALSE(decodeBookMessage(encodeCbor(row.second)));
     }
     json many = json::array();
-    for (std::uint64_t i = 0; i <= BookMessageLimits::engines; ++i)
+    for (std::uint64_t i = 0; i <= PrefillMessageLimits::engines; ++i)
         many.push_back(i);
     CHECK_FALSE(decodeBookMessage(encodeCbor(json::array({0x11, 7, 100, json::array(), many}))));
 }
@@ -114,9 +114,9 @@
             }
         }
         const auto message = decodeBookMessage(frame);
-        if (!message || !std::holds_alternative<BookQuestion>(*message))
+        if (!message || !std::holds_alternative<PrefillQuery>(*message))
             continue;
-        CHECK(std::get<BookQuestion>(*message).engines.size() <= BookMessageLimits::engines);
-        CHECK(std::get<BookQuestion>(*message).chain.links.size() <= BookMessageLimits::links);
+        CHECK(std::get<PrefillQuery>(*message).engines.size() <= PrefillMessageLimits::engines);
+        CHECK(std::get<PrefillQuery>(*message).chain.links.size() <= PrefillMessageLimits::links);
     }
 }
