--- a/modules/upstreamlimits/exchange/LimitExchange.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange.cpp
@@ -12,21 +12,21 @@
 namespace {
 
 /** What an upstream's limit is called among the quotas. */
-std::string quotaName(UpstreamLife life)
+std::string quotaName(UpstreamLife incarnation)
 {
-    return std::to_string(life);
+    return std::to_string(incarnation);
 }
 
-KeeperKey keyOf(UpstreamLife life)
+OwnershipKey keyOf(UpstreamLife incarnation)
 {
-    return StableHash().add(quotaName(life)).value();
+    return StableHash().add(quotaName(incarnation)).value();
 }
 
-UpstreamLife lifeOf(const std::string &quotaName)
+UpstreamLife incarnationOf(const std::string &quotaName)
 {
-    UpstreamLife life = 0;
-    std::from_chars(quotaName.data(), quotaName.data() + quotaName.size(), life);
-    return life;
+    UpstreamLife incarnation = 0;
+    std::from_chars(quotaName.data(), quotaName.data() + quotaName.size(), incarnation);
+    return incarnation;
 }
 
 } // namespace
@@ -42,39 +42,39 @@
 
 void LimitExchange::setPeers(const std::vector<KeeperCandidate> &peers)
 {
-    others_.setPeers(peers);
-    keepers_.setPeers(peers);
+    peers_.setPeers(peers);
+    owners_.setPeers(peers);
     quotas_.setPeers(peers);
 }
 
-LimitChange LimitExchange::heard(UpstreamLife life, std::optional<double> perSecond)
+LimitChange LimitExchange::heard(UpstreamLife incarnation, std::optional<double> perSecond)
 {
-    const StatedLimit stated{life, perSecond, clock_.now()};
-    const LimitChange change = take(stated);
+    const StatedLimit stated{incarnation, perSecond, clock_.now()};
+    const LimitChange change = applyLimit(stated);
     if (change != LimitChange::Marked || !guardEnabled(Guard::LimitReported))
         return change;
-    const PeerAddress &keeper = keepers_.firstOf(keyOf(life));
-    if (keeper.empty())
-        toAnnounce_.insert(life);
+    const PeerAddress &owner = owners_.primaryOwnerOf(keyOf(incarnation));
+    if (owner.empty())
+        pendingAnnouncements_.insert(incarnation);
     else
-        sendNotice(keeper, stated, true);
+        sendAnnouncement(owner, stated, true);
     return change;
 }
 
-LimitChange LimitExchange::take(const StatedLimit &stated)
+LimitChange LimitExchange::applyLimit(const StatedLimit &stated)
 {
-    const auto before = table_.limit(stated.life);
-    const LimitChange change = table_.take(stated);
-    if (table_.limit(stated.life) != before)
+    const auto before = table_.limit(stated.incarnation);
+    const LimitChange change = table_.update(stated);
+    if (table_.limit(stated.incarnation) != before)
         setQuotas();
     if (change == LimitChange::Marked && !stated.perSecond)
-        dropCredit(stated.life);
+        dropCredit(stated.incarnation);
     return change;
 }
 
-void LimitExchange::dropCredit(UpstreamLife life)
+void LimitExchange::dropCredit(UpstreamLife incarnation)
 {
-    const auto found = credits_.find(life);
+    const auto found = credits_.find(incarnation);
     if (found == credits_.end())
         return;
     const std::vector<Completion> waiting = std::exchange(found->second.waiting, {});
@@ -87,68 +87,70 @@
 {
     QuotaTable quotas;
     for (const StatedLimit &stated : table_.all())
-        quotas[quotaName(stated.life)] = {QuotaUnit::Requests, *stated.perSecond, 0, 1};
+        quotas[quotaName(stated.incarnation)] = {QuotaUnit::Requests, *stated.perSecond, 0, 1};
     quotas_.setQuotas(std::move(quotas));
 }
 
-bool LimitExchange::mayUse(UpstreamLife life) const
+bool LimitExchange::mayUse(UpstreamLife incarnation) const
 {
-    if (!table_.limit(life))
+    if (!table_.limit(incarnation))
         return true;
-    const auto found = credits_.find(life);
-    return found != credits_.end() && found->second.isHeld && clock_.now() < found->second.until;
+    const auto found = credits_.find(incarnation);
+    return found != credits_.end() && found->second.isAvailable
+        && clock_.now() < found->second.expiresAt;
 }
 
-std::optional<Millis> LimitExchange::roomAfter(UpstreamLife life) const
+std::optional<Millis> LimitExchange::roomAfter(UpstreamLife incarnation) const
 {
-    const auto found = credits_.find(life);
-    if (!table_.limit(life) || found == credits_.end())
+    const auto found = credits_.find(incarnation);
+    if (!table_.limit(incarnation) || found == credits_.end())
         return std::nullopt;
     const Credit &credit = found->second;
     const Millis now = clock_.now();
-    const bool isRefused = !credit.isHeld && !credit.isAsking && now < credit.until;
-    return isRefused ? std::optional<Millis>(credit.until - now) : std::nullopt;
+    const bool isRefused = !credit.isAvailable && !credit.isRequested && now < credit.expiresAt;
+    return isRefused ? std::optional<Millis>(credit.expiresAt - now) : std::nullopt;
 }
 
-void LimitExchange::askAhead(const std::vector<UpstreamLife> &lives)
+void LimitExchange::askAhead(const std::vector<UpstreamLife> &incarnations)
 {
-    int left = mostAhead;
-    for (const UpstreamLife life : lives) {
-        if (left == 0)
+    int remaining = maxPrefetched;
+    for (const UpstreamLife incarnation : incarnations) {
+        if (remaining == 0)
             return;
-        if (mayUse(life) || isExhausted(life) || credits_[life].isAsking)
+        if (mayUse(incarnation) || isExhausted(incarnation) || credits_[incarnation].isRequested)
             continue;
-        --left;
-        ask(life, [](const CreditAnswer &) {});
+        --remaining;
+        ask(incarnation, [](const CreditAnswer &) {});
     }
 }
 
-void LimitExchange::ask(UpstreamLife life, Completion done)
+void LimitExchange::ask(UpstreamLife incarnation, Completion done)
 {
-    if (mayUse(life))
+    if (mayUse(incarnation))
         return done({true, Millis(0)});
-    if (const auto room = roomAfter(life))
+    if (const auto room = roomAfter(incarnation))
         return done({false, *room});
-    Credit &credit = credits_[life];
+    Credit &credit = credits_[incarnation];
     credit.waiting.push_back(std::move(done));
-    if (credit.isAsking)
+    if (credit.isRequested)
         return;
-    credit.isAsking = true;
-    credit.isHeld = false;
+    credit.isRequested = true;
+    credit.isAvailable = false;
     quotas_.giveBack(credit.grant);
-    quotas_.ask(quotaName(life), 1,
-                [this, life](const QuotaVerdict &verdict) { answered(life, verdict); });
+    quotas_.ask(quotaName(incarnation), 1, [this, incarnation](const QuotaVerdict &outcome) {
+        handleOutcome(incarnation, outcome);
+    });
 }
 
-void LimitExchange::answered(UpstreamLife life, const QuotaVerdict &verdict)
+void LimitExchange::handleOutcome(UpstreamLife incarnation, const QuotaVerdict &outcome)
 {
-    Credit &credit = credits_[life];
-    const bool isGranted = verdict.result == QuotaResult::Granted;
-    const Millis pause = verdict.comeBackAfter.value_or(unknownPause);
-    credit.isAsking = false;
-    credit.isHeld = isGranted;
-    credit.grant = verdict.grant;
-    credit.until = clock_.now() + (isGranted ? creditFor : pause);
+    Credit &credit = credits_[incarnation];
+    const bool isGranted = outcome.result == QuotaResult::Granted;
+    const Millis pause = outcome.comeBackAfter.value_or(noReplyPause);
+    credit.isRequested = false;
+    credit.isAvailable = isGranted;
+    credit.grant = outcome.grant;
+    credit.expiresAt = clock_.now() + (isGranted ? creditLifetime : pause);
     stats_.refused += isGranted ? 0 : 1;
     const std::vector<Completion> waiting = std::exchange(credit.waiting, {});
     // A credit is for one of them; the others find it used and ask again.
@@ -156,19 +158,19 @@
         done({isGranted, isGranted ? Millis(0) : pause});
 }
 
-void LimitExchange::use(UpstreamLife life)
+void LimitExchange::use(UpstreamLife incarnation)
 {
-    if (!table_.limit(life))
+    if (!table_.limit(incarnation))
         return;
     ++stats_.used;
-    const auto found = credits_.find(life);
-    if (found == credits_.end() || !found->second.isHeld) {
+    const auto found = credits_.find(incarnation);
+    if (found == credits_.end() || !found->second.isAvailable) {
         ++stats_.unasked;
         return;
     }
-    found->second.isHeld = false;
+    found->second.isAvailable = false;
     found->second.grant = QuotaGrant();
-    found->second.until = Millis(0);
+    found->second.expiresAt = Millis(0);
 }
 
 bool LimitExchange::received(const PeerAddress &from, const std::string &frame)
@@ -180,11 +182,11 @@
         quotas_.received(from, quota->frame);
         return true;
     }
-    const auto &notice = std::get<LimitNotice>(*message);
-    for (const ToldLimit &each : notice.limits) {
-        const StatedLimit stated{each.life, each.perSecond, clock_.now() - each.age};
-        if (take(stated) == LimitChange::Marked && notice.isReport)
-            toAnnounce_.insert(each.life);
+    const auto &announcement = std::get<LimitAnnouncement>(*message);
+    for (const AnnouncedLimit &each : announcement.limits) {
+        const StatedLimit stated{each.incarnation, each.perSecond, clock_.now() - each.age};
+        if (applyLimit(stated) == LimitChange::Marked && announcement.isReport)
+            pendingAnnouncements_.insert(each.incarnation);
     }
     return true;
 }
@@ -194,55 +196,55 @@
     const Millis now = clock_.now();
     quotas_.tick();
     announce();
-    giveBackUnused(now);
-    if (now >= tellAt_) {
-        tellAt_ = now + tellEvery;
-        tellOne();
+    releaseUnused(now);
+    if (now >= antiEntropyAt_) {
+        antiEntropyAt_ = now + antiEntropyInterval;
+        sendAntiEntropy();
     }
     if (now < expireAt_)
         return;
-    expireAt_ = now + expireEvery;
+    expireAt_ = now + expireInterval;
     if (table_.expire(now))
         setQuotas();
 }
 
 void LimitExchange::announce()
 {
-    LimitNotice notice;
-    for (const UpstreamLife life : std::exchange(toAnnounce_, {})) {
-        const StatedLimit *stated = table_.find(life);
-        if (stated != nullptr && notice.limits.size() < LimitMessageLimits::limits)
-            notice.limits.push_back(told(*stated));
+    LimitAnnouncement announcement;
+    for (const UpstreamLife incarnation : std::exchange(pendingAnnouncements_, {})) {
+        const StatedLimit *stated = table_.find(incarnation);
+        if (stated != nullptr && announcement.limits.size() < LimitMessageLimits::limits)
+            announcement.limits.push_back(toAnnounced(*stated));
     }
-    if (notice.limits.empty() || !guardEnabled(Guard::LimitAnnounced))
+    if (announcement.limits.empty() || !guardEnabled(Guard::LimitAnnounced))
         return;
-    const std::string frame = encodeLimitMessage(notice);
-    for (const PeerAddress &other : others_.all())
-        transport_.send(other, frame);
+    const std::string frame = encodeLimitMessage(announcement);
+    for (const PeerAddress &peer : peers_.all())
+        transport_.send(peer, frame);
 }
 
-void LimitExchange::tellOne()
+void LimitExchange::sendAntiEntropy()
 {
     const std::vector<StatedLimit> all = table_.all();
-    const auto one = others_.anyLinked(random_);
-    if (!one || all.empty() || !guardEnabled(Guard::LimitToldAgain))
+    const auto peer = peers_.anyLinked(random_);
+    if (!peer || all.empty() || !guardEnabled(Guard::LimitToldAgain))
         return;
     const std::size_t first = random_() % all.size();
-    LimitNotice notice;
+    LimitAnnouncement announcement;
     for (std::size_t i = 0; i < std::min(all.size(), LimitMessageLimits::limits); ++i)
-        notice.limits.push_back(told(all[(first + i) % all.size()]));
-    transport_.send(*one, encodeLimitMessage(notice));
+        announcement.limits.push_back(toAnnounced(all[(first + i) % all.size()]));
+    transport_.send(*peer, encodeLimitMessage(announcement));
 }
 
-void LimitExchange::giveBackUnused(Millis now)
+void LimitExchange::releaseUnused(Millis now)
 {
     for (auto it = credits_.begin(); it != credits_.end();) {
         Credit &credit = it->second;
-        if (credit.isAsking || now < credit.until) {
+        if (credit.isRequested || now < credit.expiresAt) {
             ++it;
             continue;
         }
-        if (credit.isHeld && guardEnabled(Guard::LimitCreditReturned)) {
+        if (credit.isAvailable && guardEnabled(Guard::LimitCreditReturned)) {
             ++stats_.givenBack;
             quotas_.giveBack(credit.grant);
         }
@@ -260,22 +262,23 @@
 {
     // A keeper that knows no limit would grant everything.
     const auto message = decodeQuotaMessage(frame);
-    const auto *question = message ? std::get_if<QuotaQuestion>(&*message) : nullptr;
+    const auto *query = message ? std::get_if<QuotaQuery>(&*message) : nullptr;
     const StatedLimit *stated =
-        question == nullptr ? nullptr : table_.find(lifeOf(question->customer));
+        query == nullptr ? nullptr : table_.find(incarnationOf(query->customer));
     if (stated != nullptr && guardEnabled(Guard::LimitToldWithQuestion))
-        sendNotice(to, *stated, false);
+        sendAnnouncement(to, *stated, false);
     transport_.send(to, encodeLimitMessage(LimitQuotaFrame{std::move(frame)}));
 }
 
-void LimitExchange::sendNotice(const PeerAddress &to, const StatedLimit &stated, bool isReport)
+void LimitExchange::sendAnnouncement(const PeerAddress &to, const StatedLimit &stated,
+                                     bool isReport)
 {
-    transport_.send(to, encodeLimitMessage(LimitNotice{isReport, {told(stated)}}));
+    transport_.send(to, encodeLimitMessage(LimitAnnouncement{isReport, {toAnnounced(stated)}}));
 }
 
-ToldLimit LimitExchange::told(const StatedLimit &stated) const
+AnnouncedLimit LimitExchange::toAnnounced(const StatedLimit &stated) const
 {
-    return {stated.life, stated.perSecond, clock_.now() - stated.heardAt};
+    return {stated.incarnation, stated.perSecond, clock_.now() - stated.receivedAt};
 }
 
 } // namespace cuminrail
--- a/modules/upstreamlimits/exchange/LimitExchange.h
+++ b/modules/upstreamlimits/exchange/LimitExchange.h
@@ -49,14 +49,14 @@
 {
 public:
     /** A credit that is kept longer counts into a window in which it was not granted. */
-    static constexpr Millis creditFor = Millis(500);
+    static constexpr Millis creditLifetime = Millis(500);
     /** After no keeper answered. */
-    static constexpr Millis unknownPause = Millis(250);
+    static constexpr Millis noReplyPause = Millis(250);
     /** Questions that a request asks ahead, for later ones. */
-    static constexpr int mostAhead = 2;
-    static constexpr Millis expireEvery = Millis(1000);
+    static constexpr int maxPrefetched = 2;
+    static constexpr Millis expireInterval = Millis(1000);
     /** How often another instance is told what is known here. */
-    static constexpr Millis tellEvery = Millis(1000);
+    static constexpr Millis antiEntropyInterval = Millis(1000);
 
     using Completion = std::function<void(const CreditAnswer &answer)>;
 
@@ -68,7 +68,7 @@
     /** Tells whether a link is ready; may be left out. Others are not told of limits by turns. */
     void setLinkCheck(std::function<bool(const PeerAddress &)> isLinked)
     {
-        others_.isLinked = std::move(isLinked);
+        peers_.isLinked = std::move(isLinked);
     }
 
     /** There are no other instances to ask. */
@@ -76,26 +76,26 @@
     /** All instances, this one first; with an address where they take links. */
     void setPeers(const std::vector<KeeperCandidate> &peers);
     /** The part of all instances, 0 to 1, with which this one is linked. */
-    void setReach(double reach) { quotas_.setReach(reach); }
+    void setReach(double share) { quotas_.setReach(share); }
 
     /** An answer of the upstream stated a limit, or none. Returns how that compares. */
-    LimitChange heard(UpstreamLife life, std::optional<double> perSecond);
+    LimitChange heard(UpstreamLife incarnation, std::optional<double> perSecond);
     /** Whether any upstream is limited; else nothing needs to be asked. */
     bool hasLimits() const { return table_.hasLimits(); }
     /** Whether a request may go there now: all may, or a credit is in hand. */
-    bool mayUse(UpstreamLife life) const;
+    bool mayUse(UpstreamLife incarnation) const;
     /**
         Returns when a limited upstream whose credit was refused a moment ago may have room; nothing
         for any other one.
     */
-    std::optional<Millis> roomAfter(UpstreamLife life) const;
-    bool isExhausted(UpstreamLife life) const { return roomAfter(life).has_value(); }
+    std::optional<Millis> roomAfter(UpstreamLife incarnation) const;
+    bool isExhausted(UpstreamLife incarnation) const { return roomAfter(incarnation).has_value(); }
     /** Asks for credits of a few of these, for later requests. */
-    void askAhead(const std::vector<UpstreamLife> &lives);
+    void askAhead(const std::vector<UpstreamLife> &incarnations);
     /** Asks for a credit. The completion is called once, perhaps before this returns. */
-    void ask(UpstreamLife life, Completion done);
+    void ask(UpstreamLife incarnation, Completion done);
     /** A request goes there now. */
-    void use(UpstreamLife life);
+    void use(UpstreamLife incarnation);
 
     /** A frame came from another instance. Returns false if it is no message about limits. */
     bool received(const PeerAddress &from, const std::string &frame);
@@ -111,37 +111,37 @@
     struct Credit
     {
         QuotaGrant grant;
-        bool isHeld = false;
-        bool isAsking = false;
+        bool isAvailable = false;
+        bool isRequested = false;
         /** Until when a held credit may be used, or a refused one is not asked for again. */
-        Millis until;
+        Millis expiresAt;
         std::vector<Completion> waiting;
     };
 
-    LimitChange take(const StatedLimit &stated);
+    LimitChange applyLimit(const StatedLimit &stated);
     void setQuotas();
     /** The limit is over; nobody needs to wait. */
-    void dropCredit(UpstreamLife life);
-    void answered(UpstreamLife life, const QuotaVerdict &verdict);
-    void giveBackUnused(Millis now);
+    void dropCredit(UpstreamLife incarnation);
+    void handleOutcome(UpstreamLife incarnation, const QuotaVerdict &outcome);
+    void releaseUnused(Millis now);
     void announce();
     /** Tells one other instance: one that started lately knows nothing. */
-    void tellOne();
+    void sendAntiEntropy();
     void sendQuotaFrame(const PeerAddress &to, std::string frame);
-    void sendNotice(const PeerAddress &to, const StatedLimit &stated, bool isReport);
-    ToldLimit told(const StatedLimit &stated) const;
+    void sendAnnouncement(const PeerAddress &to, const StatedLimit &stated, bool isReport);
+    AnnouncedLimit toAnnounced(const StatedLimit &stated) const;
 
     PeerTransport transport_;
     Clock clock_;
     RandomHook random_;
     LimitTable table_;
-    KeeperRanking keepers_;
-    PeerRoster others_;
+    OwnerRanking owners_;
+    PeerDirectory peers_;
     QuotaExchange quotas_;
     std::unordered_map<UpstreamLife, Credit> credits_;
-    std::set<UpstreamLife> toAnnounce_;
+    std::set<UpstreamLife> pendingAnnouncements_;
     Millis expireAt_;
-    Millis tellAt_;
+    Millis antiEntropyAt_;
     LimitStats stats_;
 };
 
--- a/modules/upstreamlimits/exchange/LimitExchange_test.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange_test.cpp
@@ -8,25 +8,26 @@
 namespace {
 
 /** Callers send for a while, most of them to a few of the instances. */
-void play(LimitCluster &cluster, int perSecond, int seconds)
+void sendTraffic(LimitCluster &cluster, int perSecond, int seconds)
 {
     for (int i = 0; i < seconds * perSecond; ++i) {
-        const int most = cluster.pick(2) == 0 ? cluster.count() : (cluster.count() + 3) / 4;
-        cluster.request(cluster.pick(most));
-        cluster.pass(Millis(1000 / perSecond));
+        const int instanceCount =
+            cluster.pick(2) == 0 ? cluster.count() : (cluster.count() + 3) / 4;
+        cluster.request(cluster.pick(instanceCount));
+        cluster.advance(Millis(1000 / perSecond));
     }
 }
 
-using Trouble = std::function<void(LimitCluster &)>;
+using Fault = std::function<void(LimitCluster &)>;
 
-void nothing(LimitCluster &)
+void noFault(LimitCluster &)
 { }
 
 void killInTurn(LimitCluster &cluster)
 {
     for (int i = 0; i < cluster.count(); i += 2) {
         cluster.kill(i);
-        play(cluster, 100, 1);
+        sendTraffic(cluster, 100, 1);
         cluster.restart(i);
     }
 }
@@ -35,7 +36,7 @@
 {
     for (int i = 0; i < cluster.count(); ++i)
         cluster.kill(i);
-    cluster.pass(Millis(1000));
+    cluster.advance(Millis(1000));
     for (int i = 0; i < cluster.count(); ++i)
         cluster.restart(i);
 }
@@ -47,15 +48,15 @@
 
 void slowFrames(LimitCluster &cluster)
 {
-    cluster.delayMost = Millis(60);
+    cluster.maxDelay = Millis(60);
 }
 
-void cutOne(LimitCluster &cluster)
+void isolateOne(LimitCluster &cluster)
 {
     cluster.isCut = [](int from, int to) { return from == 0 || to == 0; };
     for (int i = 0; i < 8; ++i) {
         cluster.excuse(0);
-        play(cluster, 100, 1);
+        sendTraffic(cluster, 100, 1);
     }
     cluster.isCut = [](int, int) { return false; };
     cluster.excuse(0);
@@ -65,7 +66,7 @@
 {
     for (int i = 0; i < cluster.count(); i += 3)
         cluster.frozen.insert(i);
-    play(cluster, 100, 2);
+    sendTraffic(cluster, 100, 2);
     for (const int i : cluster.frozen)
         cluster.excuse(i);
     cluster.frozen.clear();
@@ -86,12 +87,12 @@
     struct Row
     {
         const char *name;
-        Trouble trouble;
+        Fault fault;
     };
     for (const Row &row :
-         {Row{"nothing", nothing}, Row{"killed in turn", killInTurn}, Row{"all killed", killAll},
+         {Row{"nothing", noFault}, Row{"killed in turn", killInTurn}, Row{"all killed", killAll},
           Row{"frames lost", loseFrames}, Row{"frames slow", slowFrames},
-          Row{"one cut off", cutOne}, Row{"some frozen", freezeSome}}) {
+          Row{"one cut off", isolateOne}, Row{"some frozen", freezeSome}}) {
         for (const int instances : {1, 6, 40}) {
             for (const double rate : {0.3, 1.0, 8.0}) {
                 for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -101,9 +102,9 @@
                     CAPTURE(seed);
                     LimitCluster cluster(instances, {rate, rate, {}, {}, {}}, seed);
                     const Millis named = cluster.now;
-                    play(cluster, 100, 10);
-                    row.trouble(cluster);
-                    play(cluster, 100, 12);
+                    sendTraffic(cluster, 100, 10);
+                    row.fault(cluster);
+                    sendTraffic(cluster, 100, 12);
                     for (const std::size_t upstream : {0, 1})
                         CHECK(cluster.busiest(upstream, named + Millis(3000)) <= allowed(rate));
                     CHECK(cluster.refused == 0);
@@ -121,9 +122,9 @@
             CAPTURE(instances);
             CAPTURE(rate);
             LimitCluster cluster(instances, {rate, rate, rate}, 1);
-            play(cluster, 100, 5);
+            sendTraffic(cluster, 100, 5);
             const Millis since = cluster.now;
-            play(cluster, 100, 20);
+            sendTraffic(cluster, 100, 20);
             double used = 0;
             for (const std::size_t upstream : {0, 1, 2}) {
                 used += static_cast<double>(cluster.arrivals(upstream, since));
@@ -139,15 +140,15 @@
 TEST_CASE("when a limit ends all instances know it soon")
 {
     LimitCluster cluster(40, {2.0, {}}, 1);
-    play(cluster, 100, 5);
+    sendTraffic(cluster, 100, 5);
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).hasLimits());
     cluster.setLimit(0, std::nullopt);
-    play(cluster, 100, 3);
+    sendTraffic(cluster, 100, 3);
     for (int i = 0; i < cluster.count(); ++i)
         CHECK_FALSE(cluster.at(i).hasLimits());
     const Millis since = cluster.now;
-    play(cluster, 100, 5);
+    sendTraffic(cluster, 100, 5);
     CHECK(cluster.arrivals(0, since) >= 200);
 }
 
@@ -156,7 +157,7 @@
 {
     LimitCluster cluster(100, {1.0, {}}, 1);
     cluster.at(3).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).hasLimits());
 }
@@ -167,11 +168,11 @@
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
         cluster.at(i).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     std::uint64_t returned = 0;
     for (int i = 0; i < 10; ++i) {
         cluster.at(i % 5).askAhead({0});
-        cluster.pass(Millis(1000));
+        cluster.advance(Millis(1000));
     }
     for (int i = 0; i < cluster.count(); ++i)
         returned += cluster.at(i).stats().givenBack;
@@ -179,7 +180,7 @@
     bool isGranted = false;
     for (int i = 0; i < 5 && !isGranted; ++i) {
         cluster.at(5).ask(0, [&](const CreditAnswer &answer) { isGranted = answer.isGranted; });
-        cluster.pass(Millis(100));
+        cluster.advance(Millis(100));
     }
     CHECK(isGranted);
 }
@@ -190,13 +191,13 @@
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
         cluster.at(i).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     int answered = 0;
     for (int i = 0; i < cluster.count(); ++i) {
         cluster.at(i).ask(0, [&](const CreditAnswer &) { ++answered; });
         cluster.at(i).heard(0, std::nullopt);
     }
-    cluster.pass(Millis(100));
+    cluster.advance(Millis(100));
     CHECK(answered == cluster.count());
 }
 
@@ -204,16 +205,17 @@
 TEST_CASE("a keeper that heard nothing of a limit grants no more than that")
 {
     LimitCluster cluster(6, {{}, {}, {}, {}, {}, {}}, 1);
-    for (UpstreamLife life = 0; life < 6; ++life) {
-        CAPTURE(life);
-        cluster.at(0).received("i-1", encodeLimitMessage(LimitNotice{false, {{life, 1.0, {}}}}));
+    for (UpstreamLife incarnation = 0; incarnation < 6; ++incarnation) {
+        CAPTURE(incarnation);
+        cluster.at(0).received(
+            "i-1", encodeLimitMessage(LimitAnnouncement{false, {{incarnation, 1.0, {}}}}));
         int granted = 0;
         for (int i = 0; i < 20; ++i) {
-            cluster.at(0).ask(life, [&](const CreditAnswer &answer) {
+            cluster.at(0).ask(incarnation, [&](const CreditAnswer &answer) {
                 granted += answer.isGranted ? 1 : 0;
-                cluster.at(0).use(life);
+                cluster.at(0).use(incarnation);
             });
-            cluster.pass(Millis(10));
+            cluster.advance(Millis(10));
         }
         CHECK(granted <= 5);
     }
--- a/modules/upstreamlimits/messages/LimitMessages.cpp
+++ b/modules/upstreamlimits/messages/LimitMessages.cpp
@@ -13,26 +13,27 @@
 using Limits = LimitMessageLimits;
 
 /** The first element of each frame: format and kind. Another format is refused whole. */
-enum class Tag : std::uint8_t { Notice = 0x61, Quota = 0x62 };
+enum class Tag : std::uint8_t { Announcement = 0x61, Quota = 0x62 };
 
-constexpr double unit = 1000;
+constexpr double rateUnit = 1000;
 
 std::uint64_t thousandths(double perSecond)
 {
-    const double most = static_cast<double>(Limits::thousandths);
-    return static_cast<std::uint64_t>(std::clamp(std::floor(perSecond * unit), 0.0, most));
+    const double maxThousandths = static_cast<double>(Limits::thousandths);
+    return static_cast<std::uint64_t>(
+        std::clamp(std::floor(perSecond * rateUnit), 0.0, maxThousandths));
 }
 
-json encode(const LimitNotice &notice)
+json encode(const LimitAnnouncement &announcement)
 {
     json limits = json::array();
-    for (const ToldLimit &each : notice.limits) {
+    for (const AnnouncedLimit &each : announcement.limits) {
         const std::int64_t age = std::clamp<std::int64_t>(each.age.count(), 0, Limits::millis);
-        limits.push_back(json::array({each.life, each.perSecond.has_value(),
+        limits.push_back(json::array({each.incarnation, each.perSecond.has_value(),
                                       thousandths(each.perSecond.value_or(0)),
                                       static_cast<std::uint64_t>(age)}));
     }
-    return json::array({Tag::Notice, notice.isReport, std::move(limits)});
+    return json::array({Tag::Announcement, announcement.isReport, std::move(limits)});
 }
 
 json encode(const LimitQuotaFrame &quota)
@@ -41,37 +42,37 @@
     return json::array({Tag::Quota, json::binary(bytes)});
 }
 
-std::optional<ToldLimit> takeLimit(const json &value)
+std::optional<AnnouncedLimit> decodeLimit(const json &value)
 {
     CborArray elements(value);
-    ToldLimit told;
-    told.life = elements.number();
+    AnnouncedLimit announced;
+    announced.incarnation = elements.number();
     const bool isLimited = elements.boolean();
-    const double rate = static_cast<double>(elements.number(Limits::thousandths)) / unit;
+    const double rate = static_cast<double>(elements.number(Limits::thousandths)) / rateUnit;
     if (isLimited)
-        told.perSecond = rate;
-    told.age = Millis(static_cast<std::int64_t>(elements.number(Limits::millis)));
-    return elements.isWhole() ? std::optional<ToldLimit>(told) : std::nullopt;
+        announced.perSecond = rate;
+    announced.age = Millis(static_cast<std::int64_t>(elements.number(Limits::millis)));
+    return elements.isWhole() ? std::optional<AnnouncedLimit>(announced) : std::nullopt;
 }
 
-std::optional<LimitMessage> takeNotice(CborArray &message)
+std::optional<LimitMessage> decodeAnnouncement(CborArray &message)
 {
-    LimitNotice notice;
-    notice.isReport = message.boolean();
+    LimitAnnouncement announcement;
+    announcement.isReport = message.boolean();
     for (const json &each : message.list(Limits::limits)) {
-        const auto told = takeLimit(each);
-        if (!told)
+        const auto announced = decodeLimit(each);
+        if (!announced)
             return std::nullopt;
-        notice.limits.push_back(*told);
+        announcement.limits.push_back(*announced);
     }
-    return notice;
+    return announcement;
 }
 
-std::optional<LimitMessage> take(CborArray &message)
+std::optional<LimitMessage> decodeMessage(CborArray &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
-    case Tag::Notice:
-        return takeNotice(message);
+    case Tag::Announcement:
+        return decodeAnnouncement(message);
     case Tag::Quota:
         return LimitQuotaFrame{message.bytes(Limits::frameBytes)};
     }
@@ -87,7 +88,7 @@
 
 std::optional<LimitMessage> decodeLimitMessage(const std::string &frame)
 {
-    return decodeFrame(frame, take);
+    return decodeFrame(frame, decodeMessage);
 }
 
 } // namespace cuminrail
--- a/modules/upstreamlimits/messages/LimitMessages.h
+++ b/modules/upstreamlimits/messages/LimitMessages.h
@@ -12,20 +12,20 @@
 namespace cuminrail {
 
 /** "An upstream stated this, so long ago." */
-struct ToldLimit
+struct AnnouncedLimit
 {
-    UpstreamLife life = 0;
+    UpstreamLife incarnation = 0;
     /** Nothing if it takes all requests. */
     std::optional<double> perSecond;
     Millis age;
 };
 
 /** What instances tell one another of upstreams' limits. */
-struct LimitNotice
+struct LimitAnnouncement
 {
     /** The receiver is to tell all instances what it did not know. */
     bool isReport = false;
-    std::vector<ToldLimit> limits;
+    std::vector<AnnouncedLimit> limits;
 };
 
 /** A frame of the quotas that limits are kept as. */
@@ -34,7 +34,7 @@
     std::string frame;
 };
 
-using LimitMessage = std::variant<LimitNotice, LimitQuotaFrame>;
+using LimitMessage = std::variant<LimitAnnouncement, LimitQuotaFrame>;
 
 /** Bounds on what a message may hold. */
 struct LimitMessageLimits
--- a/modules/upstreamlimits/messages/LimitMessages_test.cpp
+++ b/modules/upstreamlimits/messages/LimitMessages_test.cpp
@@ -8,16 +8,17 @@
 {
     for (const std::optional<double> rate :
          {std::optional<double>(1.125), std::optional<double>()}) {
-        const LimitNotice written{true, {{7, 3.0, Millis(1)}, {UINT64_MAX, rate, Millis(70)}}};
+        const LimitAnnouncement written{true,
+                                        {{7, 3.0, Millis(1)}, {UINT64_MAX, rate, Millis(70)}}};
         const auto read = decodeLimitMessage(encodeLimitMessage(written));
         REQUIRE(read);
-        const auto &notice = std::get<LimitNotice>(*read);
-        CHECK(notice.isReport);
-        REQUIRE(notice.limits.size() == 2);
-        CHECK(notice.limits[0].perSecond == 3.0);
-        CHECK(notice.limits[1].life == UINT64_MAX);
-        CHECK(notice.limits[1].perSecond == rate);
-        CHECK(notice.limits[1].age == Millis(70));
+        const auto &announcement = std::get<LimitAnnouncement>(*read);
+        CHECK(announcement.isReport);
+        REQUIRE(announcement.limits.size() == 2);
+        CHECK(announcement.limits[0].perSecond == 3.0);
+        CHECK(announcement.limits[1].incarnation == UINT64_MAX);
+        CHECK(announcement.limits[1].perSecond == rate);
+        CHECK(announcement.limits[1].age == Millis(70));
     }
     const std::string bytes("\0\xff\x41 any", 7);
     const auto quota = decodeLimitMessage(encodeLimitMessage(LimitQuotaFrame{bytes}));
@@ -28,12 +29,12 @@
 // Guards against frames cut short, of other formats or out of bounds that limit an upstream.
 TEST_CASE("what is no whole message about limits is refused")
 {
-    const std::string good = encodeLimitMessage(LimitNotice{false, {{7, 1.0, Millis(70)}}});
+    const std::string good = encodeLimitMessage(LimitAnnouncement{false, {{7, 1.0, Millis(70)}}});
     for (std::size_t length = 0; length < good.size(); ++length)
         CHECK_FALSE(decodeLimitMessage(good.substr(0, length)));
     CHECK_FALSE(decodeLimitMessage(good + "x"));
     CHECK_FALSE(decodeLimitMessage(
         encodeLimitMessage(LimitQuotaFrame{std::string(LimitMessageLimits::frameBytes + 1, 'x')})));
     CHECK_FALSE(decodeLimitMessage(encodeLimitMessage(
-        LimitNotice{false, std::vector<ToldLimit>(LimitMessageLimits::limits + 1)})));
+        LimitAnnouncement{false, std::vector<AnnouncedLimit>(LimitMessageLimits::limits + 1)})));
 }
--- a/modules/upstreamlimits/table/LimitTable.cpp
+++ b/modules/upstreamlimits/table/LimitTable.cpp
@@ -4,42 +4,42 @@
 
 namespace cuminrail {
 
-LimitChange LimitTable::take(const StatedLimit &stated)
+LimitChange LimitTable::update(const StatedLimit &stated)
 {
-    const auto found = known_.find(stated.life);
+    const auto found = limits_.find(stated.incarnation);
     // Nearly all upstreams state none, and need no entry for that.
-    if (found == known_.end() && (!stated.perSecond || known_.size() >= mostEntries))
+    if (found == limits_.end() && (!stated.perSecond || limits_.size() >= maxEntries))
         return LimitChange::None;
-    if (found != known_.end() && stated.heardAt < found->second.heardAt)
+    if (found != limits_.end() && stated.receivedAt < found->second.receivedAt)
         return LimitChange::None;
-    const auto before = found == known_.end() ? std::nullopt : found->second.perSecond;
-    known_[stated.life] = stated;
+    const auto before = found == limits_.end() ? std::nullopt : found->second.perSecond;
+    limits_[stated.incarnation] = stated;
     if (before.has_value() != stated.perSecond.has_value()) {
         limited_ += stated.perSecond ? 1 : -1;
         return LimitChange::Marked;
     }
     if (!before)
         return LimitChange::Slight;
-    const bool isMarked = std::abs(*stated.perSecond - *before) > markedShare * *before;
+    const bool isMarked = std::abs(*stated.perSecond - *before) > markedChangeShare * *before;
     return isMarked ? LimitChange::Marked : LimitChange::Slight;
 }
 
-const StatedLimit *LimitTable::find(UpstreamLife life) const
+const StatedLimit *LimitTable::find(UpstreamLife incarnation) const
 {
-    const auto found = known_.find(life);
-    return found == known_.end() ? nullptr : &found->second;
+    const auto found = limits_.find(incarnation);
+    return found == limits_.end() ? nullptr : &found->second;
 }
 
-std::optional<double> LimitTable::limit(UpstreamLife life) const
+std::optional<double> LimitTable::limit(UpstreamLife incarnation) const
 {
-    const StatedLimit *stated = find(life);
+    const StatedLimit *stated = find(incarnation);
     return stated == nullptr ? std::nullopt : stated->perSecond;
 }
 
 std::vector<StatedLimit> LimitTable::all() const
 {
     std::vector<StatedLimit> all;
-    for (const auto &[life, stated] : known_) {
+    for (const auto &[incarnation, stated] : limits_) {
         if (stated.perSecond)
             all.push_back(stated);
     }
@@ -49,11 +49,11 @@
 bool LimitTable::expire(Millis now)
 {
     const std::size_t before = limited_;
-    for (auto it = known_.begin(); it != known_.end();) {
-        const bool isOver = now - it->second.heardAt >= keptFor;
-        if (isOver && it->second.perSecond)
+    for (auto it = limits_.begin(); it != limits_.end();) {
+        const bool isExpired = now - it->second.receivedAt >= retention;
+        if (isExpired && it->second.perSecond)
             --limited_;
-        it = isOver ? known_.erase(it) : std::next(it);
+        it = isExpired ? limits_.erase(it) : std::next(it);
     }
     return limited_ != before;
 }
--- a/modules/upstreamlimits/table/LimitTable.h
+++ b/modules/upstreamlimits/table/LimitTable.h
@@ -12,11 +12,11 @@
 /** What an upstream stated about the requests that it takes. */
 struct StatedLimit
 {
-    UpstreamLife life = 0;
+    UpstreamLife incarnation = 0;
     /** Requests a second from all instances together; nothing if it takes all. */
     std::optional<double> perSecond;
     /** When it was heard, by this machine's clock. */
-    Millis heardAt;
+    Millis receivedAt;
 };
 
 /** How a statement compares with what was known. */
@@ -37,17 +37,17 @@
 class LimitTable
 {
 public:
-    static constexpr Millis keptFor = Millis::seconds(30);
+    static constexpr Millis retention = Millis::seconds(30);
     /** A rate that differs by more than this part is told to others at once. */
-    static constexpr double markedShare = 0.1;
-    static constexpr std::size_t mostEntries = 4096;
+    static constexpr double markedChangeShare = 0.1;
+    static constexpr std::size_t maxEntries = 4096;
 
     /** Takes in a statement, unless a newer one of the same upstream is known. */
-    LimitChange take(const StatedLimit &stated);
+    LimitChange update(const StatedLimit &stated);
     /** Returns what is known of an upstream, or null. */
-    const StatedLimit *find(UpstreamLife life) const;
+    const StatedLimit *find(UpstreamLife incarnation) const;
     /** Returns the requests a second that an upstream takes, or nothing if it takes all. */
-    std::optional<double> limit(UpstreamLife life) const;
+    std::optional<double> limit(UpstreamLife incarnation) const;
     bool hasLimits() const { return limited_ > 0; }
     std::size_t limited() const { return limited_; }
     std::vector<StatedLimit> all() const;
@@ -55,7 +55,7 @@
     bool expire(Millis now);
 
 private:
-    std::unordered_map<UpstreamLife, StatedLimit> known_;
+    std::unordered_map<UpstreamLife, StatedLimit> limits_;
     std::size_t limited_ = 0;
 };
 
--- a/modules/upstreamlimits/table/LimitTable_test.cpp
+++ b/modules/upstreamlimits/table/LimitTable_test.cpp
@@ -10,7 +10,7 @@
     struct Row
     {
         std::optional<double> perSecond;
-        int heardAt;
+        int receivedAt;
         LimitChange change;
         std::optional<double> after;
     };
@@ -23,8 +23,8 @@
           Row{1.0, 45, LimitChange::None, std::nullopt},
           Row{std::nullopt, 60, LimitChange::Slight, std::nullopt},
           Row{0.0, 70, LimitChange::Marked, 0.0}}) {
-        CAPTURE(row.heardAt);
-        CHECK(table.take({7, row.perSecond, Millis(row.heardAt)}) == row.change);
+        CAPTURE(row.receivedAt);
+        CHECK(table.update({7, row.perSecond, Millis(row.receivedAt)}) == row.change);
         CHECK(table.limit(7) == row.after);
         CHECK(table.hasLimits() == row.after.has_value());
     }
@@ -34,10 +34,10 @@
 TEST_CASE("a limit that nobody heard for a while is forgotten")
 {
     LimitTable table;
-    table.take({7, 1.0, Millis(0)});
-    table.take({8, 1.0, Millis(500)});
-    CHECK_FALSE(table.expire(LimitTable::keptFor - Millis(1)));
-    CHECK(table.expire(LimitTable::keptFor));
+    table.update({7, 1.0, Millis(0)});
+    table.update({8, 1.0, Millis(500)});
+    CHECK_FALSE(table.expire(LimitTable::retention - Millis(1)));
+    CHECK(table.expire(LimitTable::retention));
     CHECK_FALSE(table.limit(7));
     CHECK(table.limit(8) == 1.0);
     CHECK(table.limited() == 1);
@@ -47,7 +47,7 @@
 TEST_CASE("no more upstreams are remembered than there may be")
 {
     LimitTable table;
-    for (UpstreamLife life = 0; life < LimitTable::mostEntries + 10; ++life)
-        table.take({life, 1.0, Millis(0)});
-    CHECK(table.limited() == LimitTable::mostEntries);
+    for (UpstreamLife incarnation = 0; incarnation < LimitTable::maxEntries + 10; ++incarnation)
+        table.update({incarnation, 1.0, Millis(0)});
+    CHECK(table.limited() == LimitTable::maxEntries);
 }
--- a/modules/upstreamlimits/testing/LimitCluster.h
+++ b/modules/upstreamlimits/testing/LimitCluster.h
@@ -31,7 +31,7 @@
     {
         for (int i = 0; i < instances; ++i)
             start(i, instances);
-        pass(Millis::seconds(2));
+        advance(Millis::seconds(2));
     }
 
     int count() const { return static_cast<int>(instances_.size()); }
@@ -58,11 +58,11 @@
     {
         if (!isRunning(i))
             return;
-        ++asked;
-        place(i, mostRounds);
+        ++requested;
+        place(i, maxRounds);
     }
 
-    void pass(Millis span)
+    void advance(Millis span)
     {
         const Millis end = now + span;
         while (now < end) {
@@ -70,7 +70,7 @@
             deliver([this](int to, const PeerAddress &from, const std::string &frame) {
                 at(to).received(from, frame);
             });
-            answer();
+            finishRuns();
             for (int i = 0; i < count(); ++i) {
                 if (isRunning(i))
                     at(i).tick();
@@ -82,16 +82,16 @@
     std::size_t busiest(std::size_t upstream, Millis since) const
     {
         std::deque<Millis> recent;
-        std::size_t most = 0;
+        std::size_t maxCount = 0;
         for (const Millis at : arrivals_[upstream]) {
             if (at < since)
                 continue;
             recent.push_back(at);
             while (at - recent.front() > window)
                 recent.pop_front();
-            most = std::max(most, recent.size());
+            maxCount = std::max(maxCount, recent.size());
         }
-        return most;
+        return maxCount;
     }
     std::size_t arrivals(std::size_t upstream, Millis since) const
     {
@@ -100,7 +100,7 @@
             std::count_if(all.begin(), all.end(), [since](Millis at) { return at >= since; }));
     }
 
-    int asked = 0;
+    int requested = 0;
     int served = 0;
     int refused = 0;
 
@@ -108,13 +108,13 @@
     static constexpr Millis step = Millis(5);
     static constexpr Millis window = Millis(4000);
     static constexpr Millis excusedFor = Millis(3000);
-    static constexpr int mostRounds = 3;
+    static constexpr int maxRounds = 3;
 
     struct Run
     {
         int instance = 0;
         std::size_t upstream = 0;
-        Millis until;
+        Millis endsAt;
     };
 
     void start(int i, int instances)
@@ -132,40 +132,41 @@
     {
         std::vector<UpstreamLife> usable;
         std::vector<UpstreamLife> limited;
-        for (UpstreamLife life = 0; life < limits_.size(); ++life)
-            (at(i).mayUse(life) ? usable : limited).push_back(life);
+        for (UpstreamLife incarnation = 0; incarnation < limits_.size(); ++incarnation)
+            (at(i).mayUse(incarnation) ? usable : limited).push_back(incarnation);
         at(i).askAhead(limited);
         if (!usable.empty())
             return send(i, usable[static_cast<std::size_t>(pick(static_cast<int>(usable.size())))]);
-        const auto open = std::find_if(limited.begin(), limited.end(),
-                                       [&](UpstreamLife life) { return !at(i).isExhausted(life); });
-        if (open == limited.end() || rounds == 0) {
+        const auto candidate =
+            std::find_if(limited.begin(), limited.end(),
+                         [&](UpstreamLife incarnation) { return !at(i).isExhausted(incarnation); });
+        if (candidate == limited.end() || rounds == 0) {
             ++refused;
             return;
         }
-        at(i).ask(*open, [this, i, rounds](const CreditAnswer &) { place(i, rounds - 1); });
+        at(i).ask(*candidate, [this, i, rounds](const CreditAnswer &) { place(i, rounds - 1); });
     }
 
-    void send(int i, UpstreamLife life)
+    void send(int i, UpstreamLife incarnation)
     {
-        const auto upstream = static_cast<std::size_t>(life);
-        at(i).use(life);
+        const auto upstream = static_cast<std::size_t>(incarnation);
+        at(i).use(incarnation);
         const auto excused = excusedUntil_.find(i);
         if (excused == excusedUntil_.end() || now >= excused->second)
             arrivals_[upstream].push_back(now);
         runs_.push_back({i, upstream, now + Millis(20 + pick(60))});
     }
 
-    void answer()
+    void finishRuns()
     {
-        std::vector<Run> over;
-        const auto isOver = [&](const Run &run) {
-            if (run.until <= now)
-                over.push_back(run);
-            return run.until <= now;
+        std::vector<Run> finished;
+        const auto isFinished = [&](const Run &run) {
+            if (run.endsAt <= now)
+                finished.push_back(run);
+            return run.endsAt <= now;
         };
-        runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isOver), runs_.end());
-        for (const Run &run : over) {
+        runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isFinished), runs_.end());
+        for (const Run &run : finished) {
             ++served;
             if (!isRunning(run.instance))
                 continue;
