--- a/modules/quarantine/book/SuspectBook.h
+++ b/modules/quarantine/book/SuspectBook.h
@@ -13,24 +13,24 @@
 
 namespace cuminrail {
 
-/** Under which upstreams' ends a request ran. */
+/** The upstreams that ended while they ran a request. */
 struct Suspicion
 {
     RequestFingerprint fingerprint;
-    /** Each once, SuspectBook::mostEnds at most. */
+    /** No duplicates, SuspicionTable::maxEnded entries at most. */
     std::vector<UpstreamLife> ended;
-    /** How much longer it is kept. */
+    /** Time until the entry expires. */
     Millis remaining;
 };
 
-/** How far the suspicion against a request goes. */
+/** How strongly a request is suspected of ending upstreams. */
 enum class SuspicionLevel : std::uint8_t {
     None,
-    /** One upstream ended under it, as under all that ran there. */
+    /** One upstream ended under it, as under every request that ran there. */
     Noted,
-    /** Two did: it is not repeated by the system, but still run when a caller asks. */
+    /** Two upstreams ended: the system does not retry it, but runs it when a caller sends it. */
     Suspected,
-    /** Three did: it is not run. */
+    /** Three upstreams ended: it is not run. */
     Quarantined,
 };
 
@@ -42,39 +42,41 @@
 }}};
 
 /**
-    What one instance knows of requests under which upstreams ended.
+        One instance's table of requests under which upstreams ended.
+
+    A request that completed anywhere within the last minute is not suspected: an upstream that
+    fails for another reason interrupts many such requests. The table is bounded; the oldest entries
+    are evicted first.
 
-    A request that ran to its end anywhere within the last minute is not suspected: upstreams that
-    fail by themselves take many such requests with them. Bounded; the oldest entries go first.
 */
 class SuspicionTable
 {
 public:
     static constexpr std::size_t suspectedThreshold = 2;
     static constexpr std::size_t quarantinedThreshold = 3;
-    /** Ends remembered of one request; more say nothing new. */
+    /** Ended upstreams stored for one request; more would not change its level. */
     static constexpr std::size_t maxEnded = quarantinedThreshold;
-    /** A request that is still fatal afterwards costs one upstream a day. */
+    /** A request that stays fatal costs one upstream a day after this has expired. */
     static constexpr Millis retention = Millis::seconds(24 * 60 * 60);
     static constexpr Millis completionRetention = Millis::seconds(60);
     static constexpr std::size_t maxNoted = 4096;
     static constexpr std::size_t maxSuspects = 1024;
     static constexpr std::size_t maxCompleted = 4096;
 
-    /** Adds what is told of a request. Returns true if its level rose to Suspected or beyond. */
+    /** Merges a suspicion. Returns true if the level of its request rose to Suspected or above. */
     bool add(const Suspicion &suspicion, Millis now);
-    /** The request ran to its end. Returns true if it was suspected and no longer is. */
+    /** Records that a request completed. Returns true if that cleared a suspicion. */
     bool recordCompletion(const RequestFingerprint &fingerprint, Millis now);
     bool hasCompletedRecently(const RequestFingerprint &fingerprint, Millis now) const;
 
     SuspicionLevel level(const RequestFingerprint &fingerprint, Millis now) const;
     std::optional<Suspicion> find(const RequestFingerprint &fingerprint, Millis now) const;
-    /** Returns whether any request is suspected; else nothing needs to be looked up. */
+    /** Returns whether any request is suspected; if none is, callers can skip the lookup. */
     bool hasSuspects() const { return !suspects_.entries.empty(); }
     std::size_t raisedCount() const { return suspects_.entries.size(); }
-    /** Returns the next few that are suspected or quarantined, all of them in turn. */
+    /** Returns the next suspected or quarantined requests, in round-robin order over calls. */
     std::vector<Suspicion> nextSuspects(std::size_t maxCount, Millis now);
-    /** Drops what is over, and returns those that were quarantined. */
+    /** Removes expired entries and returns those that were quarantined. */
     std::vector<RequestFingerprint> expire(Millis now);
 
 private:
@@ -83,7 +85,7 @@
         std::vector<UpstreamLife> ended;
         Millis expiresAt;
     };
-    /** Entries with the order in which they came. */
+    /** Entries and the order in which they were inserted. */
     struct BoundedEntries
     {
         std::unordered_map<RequestFingerprint, Entry> entries;
--- a/modules/quarantine/book/SuspectBook_test.cpp
+++ b/modules/quarantine/book/SuspectBook_test.cpp
@@ -23,7 +23,8 @@
 
 } // namespace
 
-TEST_CASE("each upstream that ended under a request raises its level, up to quarantine")
+// Guards against levels that count the same upstream twice, or affect another request.
+TEST_CASE("each further upstream that ended under a request raises its level, up to quarantine")
 {
     struct Row
     {
@@ -45,8 +46,8 @@
     CHECK(table.find(fingerprintOf(1), start)->ended.size() == SuspicionTable::maxEnded);
 }
 
-// Guards against upstreams that fail by themselves and get what many callers ask for refused.
-TEST_CASE("a request that ran to its end lately is not suspected")
+// Guards against upstreams that fail for other reasons and get popular requests refused.
+TEST_CASE("a request that completed recently is not suspected")
 {
     SuspicionTable table;
     CHECK_FALSE(table.recordCompletion(fingerprintOf(1), start));
@@ -59,7 +60,8 @@
     CHECK(table.level(fingerprintOf(1), later) == SuspicionLevel::None);
 }
 
-TEST_CASE("what is over is forgotten, and what is told keeps its teller's time")
+// Guards against suspicions that never expire because each instance restarts their retention.
+TEST_CASE("entries expire, and a received suspicion keeps the remaining time of its sender")
 {
     SuspicionTable table;
     table.add(suspicionOf(1, {1, 2, 3}, Millis(500)), start);
@@ -74,8 +76,8 @@
     CHECK_FALSE(table.hasSuspects());
 }
 
-// Guards against callers who fill an instance's memory with requests that upstreams end under.
-TEST_CASE("the oldest entries go when there are too many")
+// Guards against callers who fill an instance's memory with requests that end upstreams.
+TEST_CASE("the oldest entries are evicted when the table is full")
 {
     SuspicionTable table;
     const int count = static_cast<int>(SuspicionTable::maxNoted) + 50;
@@ -92,7 +94,7 @@
     CHECK(table.hasCompletedRecently(fingerprintOf(count - 1), start));
 }
 
-TEST_CASE("suspicions are named in turn")
+TEST_CASE("suspects are returned in round-robin order")
 {
     SuspicionTable table;
     for (int i = 0; i < 5; ++i)
--- a/modules/quarantine/exchange/QuarantineExchange.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange.cpp
@@ -25,7 +25,7 @@
     return nlohmann::json{{"ended", suspicion.ended}}.dump();
 }
 
-/** Returns nothing for what another writer left there. */
+/** Returns nothing if the object was not written by this module. */
 std::optional<Suspicion> suspicionOf(const StoreObject &object)
 {
     const std::string name = object.path.substr(std::string(storePrefix).size());
@@ -143,7 +143,7 @@
     const Millis now = environment_.clock.now();
     for (const Suspicion &suspicion : announcement.suspicions) {
         if (table_.hasCompletedRecently(suspicion.fingerprint, now)) {
-            // It ran to its end here a moment ago; whoever suspects it does not know.
+            // The request completed here recently, and the sender does not know that yet.
             if (suspicion.ended.size() >= SuspicionTable::suspectedThreshold)
                 send(from, SuspicionCleared{suspicion.fingerprint});
         } else if (announcement.isReport) {
@@ -160,7 +160,7 @@
         pendingAnnouncements_.insert(suspicion.fingerprint.text());
         return;
     }
-    // Who reports an end under a request that is suspected already may not have heard of that.
+    // The reporting instance may not know yet that the request is already suspected.
     const auto known = table_.find(suspicion.fingerprint, environment_.clock.now());
     if (known && known->ended.size() > suspicion.ended.size())
         send(from, SuspicionAnnouncement{false, {*known}});
@@ -273,7 +273,7 @@
     const auto entry = pendingWrites_.find(fingerprint);
     if (entry == pendingWrites_.end())
         return;
-    // In a conflict another keeper wrote it, or this one did and did not hear of it.
+    // On a conflict another owner wrote it, or this one did and missed the reply.
     if (status == StoreStatus::Ok || status == StoreStatus::Conflict) {
         pendingWrites_.erase(entry);
         return;
--- a/modules/quarantine/exchange/QuarantineExchange.h
+++ b/modules/quarantine/exchange/QuarantineExchange.h
@@ -19,28 +19,30 @@
 /** Counters since the start. */
 struct QuarantineStats
 {
-    /** Upstreams that ended under requests of this instance, once for each request. */
+    /** Upstreams that ended under requests of this instance, counted once for each request. */
     std::uint64_t ends = 0;
-    /** Requests that came to be quarantined, as this instance knows. */
+    /** Requests whose quarantine this instance saw begin. */
     std::uint64_t quarantined = 0;
-    /** Requests that were suspected and then ran to their end here. */
+    /** Suspected requests that then completed at this instance. */
     std::uint64_t cleared = 0;
     std::uint64_t framesSent = 0;
 };
 
 /**
-    One instance's part in finding requests that end the upstreams that run them.
+        One instance's part in detecting requests that end the upstreams that run them.
 
-    Load: one request that comes again under new identities at any of hundreds of instances, each
-    of which sees one end at most; and engines that fail by themselves with dozens of requests.
+    Expected load: one request sent again under new identities to any of hundreds of instances, each
+    of which sees one end at most; and engines that fail for other reasons with dozens of requests
+    running.
 
-    Whoever sees an upstream end under a request reports it to the first three keepers of the
-    request's fingerprint. A keeper for which it thereby becomes suspected tells all instances;
-    what is quarantined it also writes to the store, from which instances that start read it. Who
-    knows of suspicions tells them to another instance each second, so that lost frames and
-    instances that were away are made up for.
+    An instance that sees an upstream end under a request reports it to the first three owners of
+    the request's fingerprint. An owner at which the request thereby becomes suspected announces it
+    to all instances. It also writes quarantined requests to the store, from which starting
+    instances read them. Each instance sends some of its suspicions to one other instance every
+    second (anti-entropy), which repairs lost frames and updates instances that were unreachable.
+
+    Not thread-safe: used from one thread. No call blocks.
 
-    Belongs to one thread; nothing here waits.
 */
 class QuarantineExchange
 {
@@ -48,9 +50,9 @@
     static constexpr std::size_t ownersPerRequest = 3;
     static constexpr Millis antiEntropyInterval = Millis(1000);
     static constexpr std::size_t suspicionsPerRound = 32;
-    /** What is to be announced is gathered for so long. */
+    /** Announcements are collected for this long and sent together. */
     static constexpr Millis announceDelay = Millis(20);
-    /** Instances that start together read the store spread over this. */
+    /** Instances that start together spread their reads of the store over this time. */
     static constexpr Millis storeReadJitter = Millis(1000);
     static constexpr Millis initialRetryDelay = Millis(1000);
     static constexpr Millis maxRetryDelay = Millis::seconds(16);
@@ -67,9 +69,9 @@
 
     explicit QuarantineExchange(Environment environment);
 
-    /** All instances, this one first; with an address where they take links. */
+    /** All instances, this one first, each other one with the address on which it accepts links. */
     void setPeers(std::vector<KeeperCandidate> peers);
-    /** Tells whether a link is ready; may be left out. Others are not told of suspicions by turns.
+    /** Returns whether a link is ready; optional. Anti-entropy uses only peers with a ready link.
      */
     void setLinkCheck(std::function<bool(const PeerAddress &)> isLinked)
     {
@@ -80,26 +82,26 @@
     {
         return table_.level(fingerprint, environment_.clock.now());
     }
-    /** Returns how much longer the request is not run; nothing if it may be. */
+    /** Returns the remaining quarantine of a request; nothing if it may run. */
     std::optional<Millis> quarantineLeft(const RequestFingerprint &fingerprint) const;
-    /** Whether any request is suspected; else no fingerprint needs to be worked out. */
+    /** Whether any request is suspected; if none is, no fingerprint needs to be computed. */
     bool hasSuspects() const { return table_.hasSuspects(); }
 
-    /** An upstream ended while it had the request. */
+    /** An upstream ended while it ran the request. */
     void upstreamEnded(const RequestFingerprint &fingerprint, UpstreamLife incarnation);
-    /** An upstream answered the request whole, and so lives. */
+    /** An upstream sent the complete response and is therefore still running. */
     void ranToItsEnd(const RequestFingerprint &fingerprint);
 
-    /** A frame came from another instance. Returns false if it is no message of this kind. */
+    /** Handles a frame from another instance. Returns false if it is not a quarantine message. */
     bool received(const PeerAddress &from, const std::string &frame);
-    /** Does what is due; to be called every few milliseconds. */
+    /** Performs due work; to be called every few milliseconds. */
     void tick();
 
     const QuarantineStats &stats() const { return stats_; }
     const SuspicionTable &book() const { return table_; }
 
 private:
-    /** A call to the store that is made again until it took effect. */
+    /** A write to the store that is retried until it succeeds. */
     struct PendingWrite
     {
         Millis nextAt;
@@ -109,7 +111,7 @@
 
     void handle(const PeerAddress &from, const SuspicionAnnouncement &announcement);
     void handle(const PeerAddress &from, const SuspicionCleared &cleared);
-    /** Takes in what is told. Returns true if the request's level rose. */
+    /** Merges a suspicion into the table. Returns true if the request's level rose. */
     bool applySuspicion(const Suspicion &suspicion);
     void handleReport(const PeerAddress &from, const Suspicion &suspicion);
     void clear(const RequestFingerprint &fingerprint);
--- a/modules/quarantine/exchange/QuarantineExchange_test.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange_test.cpp
@@ -14,7 +14,7 @@
 
 const RequestFingerprint fatal = fingerprintOf("fatal");
 
-/** Lets callers send for a while: one fatal request a second at any instance, others beside. */
+/** Sends traffic for a while: one fatal request a second to a random instance, and others. */
 void sendTraffic(QuarantineCluster &cluster, int seconds)
 {
     constexpr int stepsEach = 20;
@@ -27,7 +27,7 @@
     }
 }
 
-/** What happens to the cluster after a while of callers' sending, and again later. */
+/** A fault that is applied to the cluster before and during traffic. */
 using Fault = std::function<void(QuarantineCluster &)>;
 
 void noFault(QuarantineCluster &)
@@ -85,8 +85,9 @@
 
 } // namespace
 
-// Guards against a request that ends each engine and is learned anew by each instance.
-TEST_CASE("a fatal request is known everywhere within seconds, whatever happens to instances")
+// Guards against a fatal request that each instance has to detect by itself, at the cost of
+// engines each time.
+TEST_CASE("a fatal request is quarantined at all instances within seconds under any fault")
 {
     struct Row
     {
@@ -94,9 +95,10 @@
         Fault fault;
     };
     for (const Row &row :
-         {Row{"nothing", noFault}, Row{"all killed", killAll}, Row{"killed in turn", killInTurn},
-          Row{"one cut off", isolateOne}, Row{"frames lost", loseFrames},
-          Row{"store down", toggleStore}, Row{"some frozen", freezeSome}}) {
+         {Row{"nothing", noFault}, Row{"all instances killed", killAll},
+          Row{"instances killed in turn", killInTurn}, Row{"one instance isolated", isolateOne},
+          Row{"frames lost", loseFrames}, Row{"store down", toggleStore},
+          Row{"some instances frozen", freezeSome}}) {
         for (const int instances : {1, 6, 60}) {
             for (std::uint64_t seed = 1; seed <= 6; ++seed) {
                 CAPTURE(std::string(row.name));
@@ -116,8 +118,8 @@
     }
 }
 
-// Guards against instances that were away while a request was quarantined and run it again.
-TEST_CASE("instances that were away know what is quarantined soon after")
+// Guards against instances that were unreachable during a quarantine and run the request again.
+TEST_CASE("instances that were unreachable or restarted learn of a quarantine within seconds")
 {
     const auto quarantine = [](QuarantineCluster &cluster) {
         for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
@@ -141,8 +143,8 @@
         CHECK(killed.at(i).level(fatal) == SuspicionLevel::Quarantined);
 }
 
-// Guards against callers who lose the fleet to a burst of one fatal request before anybody knows.
-TEST_CASE("a burst of one fatal request costs few engines")
+// Guards against the loss of the whole fleet to a burst of one fatal request before it is detected.
+TEST_CASE("a burst of one fatal request ends few engines")
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
         CAPTURE(seed);
@@ -156,8 +158,8 @@
     }
 }
 
-// Guards against engines that fail by themselves and get what many callers ask for refused.
-TEST_CASE("what many callers ask for stays in service when engines fail by themselves")
+// Guards against engines that fail for other reasons and get popular requests refused.
+TEST_CASE("a popular request is not quarantined when engines fail for other reasons")
 {
     const auto popular = fingerprintOf("popular");
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -178,11 +180,11 @@
     }
 }
 
-// Guards against a quarantine that nobody can end once its request is sound again.
-TEST_CASE("a suspicion that proves wrong is taken back everywhere, from the store too")
+// Guards against a quarantine that cannot end once its request is no longer fatal.
+TEST_CASE("a completed request clears its suspicion at all instances and in the store")
 {
     QuarantineCluster cluster(6, 12, 1);
-    // Under way when the request is quarantined.
+    // Still running when the request is quarantined.
     cluster.request(0, fatal, false);
     for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
          ++incarnation)
@@ -197,7 +199,8 @@
     CHECK(cluster.store.empty());
 }
 
-TEST_CASE("a quarantine is over after its time, and callers are told when")
+// Guards against a quarantine without an end, and against a wrong retry time for callers.
+TEST_CASE("a quarantine expires, and reports its remaining time until then")
 {
     QuarantineCluster cluster(1, 12, 1);
     for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
@@ -212,8 +215,8 @@
     CHECK(cluster.store.empty());
 }
 
-// Guards against one unreadable entry that keeps an instance from learning all others.
-TEST_CASE("entries of the store that cannot be read are passed over")
+// Guards against one malformed entry that keeps an instance from loading the others.
+TEST_CASE("malformed entries of the store are skipped")
 {
     QuarantineCluster cluster(1, 12, 1);
     for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
--- a/modules/quarantine/fingerprint/RequestFingerprint.cpp
+++ b/modules/quarantine/fingerprint/RequestFingerprint.cpp
@@ -9,7 +9,7 @@
 RequestFingerprint RequestFingerprint::of(std::string_view customer, std::string_view target,
                                           std::string_view body)
 {
-    // Hashes of equal length keep the parts apart, and bodies are not copied.
+    // Concatenating hashes of fixed length keeps the parts separate without copying bodies.
     const std::string parts =
         KeyHash::of(customer).toHex() + KeyHash::of(target).toHex() + KeyHash::of(body).toHex();
     return RequestFingerprint(KeyHash::of(parts).toHex().substr(0, digits));
--- a/modules/quarantine/fingerprint/RequestFingerprint.h
+++ b/modules/quarantine/fingerprint/RequestFingerprint.h
@@ -8,13 +8,14 @@
 namespace cuminrail {
 
 /**
-    What a request asks for, whatever its identity: the same customer, path and body give the same
-    fingerprint at every instance. Nothing of them can be read from it.
+        Hash of a request's content, independent of its request id: the same customer, path and body
+    give the same fingerprint at every instance. It does not reveal any of them.
+
 */
 class RequestFingerprint
 {
 public:
-    /** Digits of text(). */
+    /** Number of digits in text(). */
     static constexpr std::size_t digits = 32;
 
     /**
@@ -23,7 +24,7 @@
     */
     static RequestFingerprint of(std::string_view customer, std::string_view target,
                                  std::string_view body);
-    /** Returns nothing for what is no fingerprint's text. */
+    /** Parses the result of text(). Returns nothing for any other text. */
     static std::optional<RequestFingerprint> fromText(std::string_view text);
 
     /** Lower-case hexadecimal digits. */
--- a/modules/quarantine/fingerprint/RequestFingerprint_test.cpp
+++ b/modules/quarantine/fingerprint/RequestFingerprint_test.cpp
@@ -4,9 +4,10 @@
 
 using namespace cuminrail;
 
-// Guards against two requests that are taken for one because their parts run together.
+// Guards against different requests that share a fingerprint because their concatenated parts
+// match.
 TEST_CASE(
-    "a fingerprint differs when customer, path or body do, also where their joined text is one")
+    "fingerprints differ if customer, path or body differ, even if their concatenation does not")
 {
     const auto fingerprint = RequestFingerprint::of("north", "/safe/x", "body");
     CHECK(fingerprint == RequestFingerprint::of("north", "/safe/x", "body"));
@@ -26,7 +27,7 @@
     }
 }
 
-TEST_CASE("a fingerprint is read back from its text, and from nothing else")
+TEST_CASE("a fingerprint is parsed from its text, and other texts are rejected")
 {
     const auto fingerprint = RequestFingerprint::of("north", "/safe/x", "body");
     const auto read = RequestFingerprint::fromText(fingerprint.text());
--- a/modules/quarantine/messages/QuarantineMessages.cpp
+++ b/modules/quarantine/messages/QuarantineMessages.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using Limits = QuarantineMessageLimits;
 
-/** The first element of each frame: format and kind. Another format is refused whole. */
+/** First element of each frame: format and kind. Frames of another format are rejected. */
 enum class Tag : std::uint8_t { Announcement = 0x51, Cleared = 0x52 };
 
 json encode(const SuspicionAnnouncement &announcement)
--- a/modules/quarantine/messages/QuarantineMessages.h
+++ b/modules/quarantine/messages/QuarantineMessages.h
@@ -9,15 +9,15 @@
 
 namespace cuminrail {
 
-/** "Upstreams ended under these requests." */
+/** Announces or reports requests under which upstreams ended. */
 struct SuspicionAnnouncement
 {
-    /** The sender saw it itself: the receiver is to weigh it and to tell all of what follows. */
+    /** The sender saw the end itself: the receiver evaluates it and announces a raised level. */
     bool isReport = false;
     std::vector<Suspicion> suspicions;
 };
 
-/** "This request ran to its end: it is not suspected." */
+/** Announces that a request completed and is not suspected any more. */
 struct SuspicionCleared
 {
     RequestFingerprint fingerprint;
@@ -25,7 +25,7 @@
 
 using QuarantineMessage = std::variant<SuspicionAnnouncement, SuspicionCleared>;
 
-/** Bounds on what a message may hold. */
+/** Upper bounds of message fields. */
 struct QuarantineMessageLimits
 {
     static constexpr std::size_t suspicions = 64;
@@ -33,7 +33,7 @@
 
 /** Encodes a message as a frame for another instance. */
 std::string encodeQuarantineMessage(const QuarantineMessage &message);
-/** Returns nothing for what is no message of a known format, whole and within bounds. */
+/** Returns nothing unless the frame is a complete message of a known format within bounds. */
 std::optional<QuarantineMessage> decodeQuarantineMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/quarantine/messages/QuarantineMessages_test.cpp
+++ b/modules/quarantine/messages/QuarantineMessages_test.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-TEST_CASE("each message of the quarantine reads back as it was written")
+TEST_CASE("each quarantine message decodes to what was encoded")
 {
     const SuspicionAnnouncement announcement{
         true, {{fingerprint(), {7, 8}, Millis(4000)}, {fingerprint(), {9}, Millis(5)}}};
@@ -32,8 +32,8 @@
     CHECK(std::get<SuspicionCleared>(*cleared).fingerprint == fingerprint());
 }
 
-// Guards against frames cut short, of other formats or out of bounds that quarantine a request.
-TEST_CASE("what is no whole message of the quarantine is refused")
+// Guards against truncated, foreign or out-of-bounds frames that would quarantine a request.
+TEST_CASE("incomplete or out-of-bounds quarantine messages are rejected")
 {
     using nlohmann::json;
     const std::string text = fingerprint().text();
--- a/modules/quarantine/quarantine.h
+++ b/modules/quarantine/quarantine.h
@@ -1,10 +1,12 @@
 #pragma once
 
 /**
-    Which requests are not run any more because upstreams end under them.
+        Quarantine of requests that make the upstreams that run them crash.
+
+    A request is recognized by its content, whoever sends it and at whichever instance it arrives.
+    Instances announce to each other under which requests upstreams ended; quarantined requests are
+    persisted in the store.
 
-    A request is known again by what it asks, whoever sends it and wherever it arrives. Instances
-    tell one another under which requests upstreams ended; the store keeps what is quarantined.
 
     Depends on core, ports, identity (hashes), keepers, membership (bounds and encoding of frames).
 */
--- a/modules/quarantine/testing/QuarantineCluster.h
+++ b/modules/quarantine/testing/QuarantineCluster.h
@@ -13,12 +13,13 @@
 namespace cuminrail::testing {
 
 /**
-    Instances in virtual time that send requests to engines, some of which are fatal to the engine
-    that runs them; and a judge that knows all sends.
+        Simulated instances in virtual time that send requests to engines, some of them fatal to the
+    engine that runs them. Records all sends.
+
+    Simulates the gateway's part: a request is sent to one engine, and retried on a second one if
+    the first ended, unless it is suspected. An engine that ends interrupts all requests that it
+    runs, and is back as a new incarnation after some seconds.
 
-    Stands for a gateway's part: a request goes to one engine, and to a second one if the first
-    ended, unless it is suspected. An engine that ends takes all that runs there with it and is back
-    as a new life after some seconds.
 */
 class QuarantineCluster : public FrameNetwork
 {
@@ -39,14 +40,14 @@
         dead.insert(i);
         disturbedAt_[i] = now;
     }
-    /** Starts an instance again with nothing in its memory. */
+    /** Restarts an instance without its state. */
     void restart(int i)
     {
         dead.erase(i);
         disturbedAt_[i] = now;
         start(i, count());
     }
-    /** The instance counts as not in touch until some time from now. */
+    /** Treats the instance as disconnected until propagationTime from now. */
     void disturb(int i) { disturbedAt_[i] = now; }
 
     /** A caller's request arrives at an instance. */
@@ -76,9 +77,9 @@
         }
     }
 
-    /** An engine ends by itself, with all that runs there. */
+    /** An engine ends for a reason of its own, with all requests that it runs. */
     void endEngine(std::size_t engine) { crash(engine); }
-    /** Returns an engine that runs at least one request that asks this, or nothing. */
+    /** Returns an engine that runs a request with this fingerprint, or nothing. */
     std::optional<std::size_t> engineRunning(const RequestFingerprint &fingerprint) const
     {
         for (const Run &run : runs_) {
@@ -88,7 +89,7 @@
         return std::nullopt;
     }
 
-    /** Ends of engines under requests that ask this. */
+    /** Number of engines that ended under requests with this fingerprint. */
     std::size_t endsUnder(const RequestFingerprint &fingerprint) const
     {
         const auto found = ends_.find(fingerprint);
@@ -97,13 +98,13 @@
 
     std::map<std::string, std::string> store;
     bool isStoreDown = false;
-    /** Sends of one request, at most. */
+    /** Maximum number of sends of one request. */
     int attempts = 2;
     int refused = 0;
     int served = 0;
     int failed = 0;
-    /** Sends of requests under which three engines had ended longer ago than anybody may need to
-        hear of it, by instances that were reached all the while. */
+    /** Sends by continuously connected instances of requests under which three engines had ended
+        more than propagationTime ago. */
     int lateSends = 0;
 
 private:
