--- a/modules/upstreamlimits/exchange/LimitExchange.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** What an upstream's limit is called among the quotas. */
+/** Returns the customer name under which an upstream's limit is enforced as a quota. */
 std::string quotaName(UpstreamLife incarnation)
 {
     return std::to_string(incarnation);
@@ -153,7 +153,7 @@
     credit.expiresAt = clock_.now() + (isGranted ? creditLifetime : pause);
     stats_.refused += isGranted ? 0 : 1;
     const std::vector<Completion> waiting = std::exchange(credit.waiting, {});
-    // A credit is for one of them; the others find it used and ask again.
+    // The credit covers one of them; the others find it used and request another one.
     for (const Completion &done : waiting)
         done({isGranted, isGranted ? Millis(0) : pause});
 }
@@ -260,7 +260,7 @@
 
 void LimitExchange::sendQuotaFrame(const PeerAddress &to, std::string frame)
 {
-    // A keeper that knows no limit would grant everything.
+    // An owner that does not know the limit would grant every request.
     const auto message = decodeQuotaMessage(frame);
     const auto *query = message ? std::get_if<QuotaQuery>(&*message) : nullptr;
     const StatedLimit *stated =
--- a/modules/upstreamlimits/exchange/LimitExchange.h
+++ b/modules/upstreamlimits/exchange/LimitExchange.h
@@ -16,46 +16,49 @@
 /** Counters since the start. */
 struct LimitStats
 {
-    /** Requests sent to upstreams that name a limit. */
+    /** Requests sent to upstreams that state a limit. */
     std::uint64_t used = 0;
-    /** Of these, without a credit: what was under way when the limit became known. */
+    /** Of these, sent without a credit: already under way when the limit became known. */
     std::uint64_t unasked = 0;
-    /** Credits that no request used in time. */
+    /** Credits returned because no request used them in time. */
     std::uint64_t givenBack = 0;
     std::uint64_t refused = 0;
 };
 
-/** How a question for a credit ended. */
+/** How a request for a credit ended. */
 struct CreditAnswer
 {
     bool isGranted = false;
-    /** Set for one that is refused: when there may be room. */
+    /** Set if refused: after which time the upstream may accept a request. */
     Millis comeBackAfter;
 };
 
 /**
-    One instance's part in keeping the limits that upstreams name, over all instances together.
+        One instance's part in enforcing the limits that upstreams state, over all instances
+   together.
 
-    Load: an upstream in need that takes one request a second, from hundreds of instances of which
-    each would send one at least before it heard; and services of which all upstreams are in need.
+    Expected load: an overloaded upstream that accepts one request a second, and hundreds of
+    instances that would each send at least one before they receive its limit; and services whose
+    upstreams are all overloaded.
 
-    A request goes to a limited upstream only with a credit in hand, which the upstream's keeper
-    grants from a bucket of the limit; instances keep one credit of each such upstream for a moment.
-    Who hears of a limit tells the upstream's keeper, which tells all.
+    A request is sent to a limited upstream only with a credit, which the owner of the upstream's
+    token bucket grants. An instance keeps one credit of each such upstream for a short time. An
+    instance that receives a limit reports it to the upstream's owner, which announces it to all.
+
+    Not thread-safe: used from one thread. No call blocks.
 
-    Belongs to one thread; nothing here waits.
 */
 class LimitExchange
 {
 public:
-    /** A credit that is kept longer counts into a window in which it was not granted. */
+    /** A credit that is used later than this would count in another window than its grant. */
     static constexpr Millis creditLifetime = Millis(500);
-    /** After no keeper answered. */
+    /** Time until a credit is requested again after no owner replied. */
     static constexpr Millis noReplyPause = Millis(250);
-    /** Questions that a request asks ahead, for later ones. */
+    /** Credits that one request prefetches for later requests. */
     static constexpr int maxPrefetched = 2;
     static constexpr Millis expireInterval = Millis(1000);
-    /** How often another instance is told what is known here. */
+    /** Interval at which known limits are sent to one other instance. */
     static constexpr Millis antiEntropyInterval = Millis(1000);
 
     using Completion = std::function<void(const CreditAnswer &answer)>;
@@ -65,43 +68,44 @@
     LimitExchange(const LimitExchange &) = delete;
     LimitExchange &operator=(const LimitExchange &) = delete;
 
-    /** Tells whether a link is ready; may be left out. Others are not told of limits by turns. */
+    /** Returns whether a link is ready; optional. Anti-entropy uses only peers with a ready link.
+     */
     void setLinkCheck(std::function<bool(const PeerAddress &)> isLinked)
     {
         peers_.isLinked = std::move(isLinked);
     }
 
-    /** There are no other instances to ask. */
+    /** There are no other instances to query. */
     void setAlone() { quotas_.setAlone(); }
-    /** All instances, this one first; with an address where they take links. */
+    /** All instances, this one first, each other one with the address on which it accepts links. */
     void setPeers(const std::vector<KeeperCandidate> &peers);
-    /** The part of all instances, 0 to 1, with which this one is linked. */
+    /** Share of all instances, 0 to 1, to which this one has a link. */
     void setReach(double share) { quotas_.setReach(share); }
 
-    /** An answer of the upstream stated a limit, or none. Returns how that compares. */
+    /** A response of the upstream stated a limit, or none. Returns how it differs from before. */
     LimitChange heard(UpstreamLife incarnation, std::optional<double> perSecond);
-    /** Whether any upstream is limited; else nothing needs to be asked. */
+    /** Whether any upstream is limited; if none is, no credits are needed. */
     bool hasLimits() const { return table_.hasLimits(); }
-    /** Whether a request may go there now: all may, or a credit is in hand. */
+    /** Whether a request may be sent there now: it is not limited, or a credit is available. */
     bool mayUse(UpstreamLife incarnation) const;
     /**
-        Returns when a limited upstream whose credit was refused a moment ago may have room; nothing
-        for any other one.
+        Returns after which time a limited upstream whose credit was refused recently may accept a
+        request; nothing for any other upstream.
     */
     std::optional<Millis> roomAfter(UpstreamLife incarnation) const;
     bool isExhausted(UpstreamLife incarnation) const { return roomAfter(incarnation).has_value(); }
-    /** Asks for credits of a few of these, for later requests. */
+    /** Requests credits of up to maxPrefetched of these upstreams, for later requests. */
     void askAhead(const std::vector<UpstreamLife> &incarnations);
-    /** Asks for a credit. The completion is called once, perhaps before this returns. */
+    /** Requests a credit. The completion is called once, possibly before this returns. */
     void ask(UpstreamLife incarnation, Completion done);
-    /** A request goes there now. */
+    /** A request is sent there now; uses the credit, if there is one. */
     void use(UpstreamLife incarnation);
 
-    /** A frame came from another instance. Returns false if it is no message about limits. */
+    /** Handles a frame from another instance. Returns false if it is not a limit message. */
     bool received(const PeerAddress &from, const std::string &frame);
-    /** Does what is due; to be called every few milliseconds. */
+    /** Performs due work; to be called every few milliseconds. */
     void tick();
-    /** Forgets open questions without calling anybody; for the end of the process. */
+    /** Drops pending requests without calling their completions; for the end of the process. */
     void dropQuestions();
 
     const LimitStats &stats() const { return stats_; }
@@ -113,19 +117,19 @@
         QuotaGrant grant;
         bool isAvailable = false;
         bool isRequested = false;
-        /** Until when a held credit may be used, or a refused one is not asked for again. */
+        /** When an available credit expires, or a refused one may be requested again. */
         Millis expiresAt;
         std::vector<Completion> waiting;
     };
 
     LimitChange applyLimit(const StatedLimit &stated);
     void setQuotas();
-    /** The limit is over; nobody needs to wait. */
+    /** The limit ended: completes all waiting requests with a grant. */
     void dropCredit(UpstreamLife incarnation);
     void handleOutcome(UpstreamLife incarnation, const QuotaVerdict &outcome);
     void releaseUnused(Millis now);
     void announce();
-    /** Tells one other instance: one that started lately knows nothing. */
+    /** Sends known limits to one random peer, as it may have started recently and know none. */
     void sendAntiEntropy();
     void sendQuotaFrame(const PeerAddress &to, std::string frame);
     void sendAnnouncement(const PeerAddress &to, const StatedLimit &stated, bool isReport);
--- a/modules/upstreamlimits/exchange/LimitExchange_test.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Callers send for a while, most of them to a few of the instances. */
+/** Sends traffic for a while, more of it to a quarter of the instances. */
 void sendTraffic(LimitCluster &cluster, int perSecond, int seconds)
 {
     for (int i = 0; i < seconds * perSecond; ++i) {
@@ -80,9 +80,9 @@
 
 } // namespace
 
-// Guards against upstreams in need that get the sum of what each instance thinks is within the
-// limit.
-TEST_CASE("all instances together keep what an upstream named, whatever happens to them")
+// Guards against overloaded upstreams that get the sum of what each instance alone considers to be
+// within the limit.
+TEST_CASE("all instances together keep to a stated limit under any fault")
 {
     struct Row
     {
@@ -90,9 +90,10 @@
         Fault fault;
     };
     for (const Row &row :
-         {Row{"nothing", noFault}, Row{"killed in turn", killInTurn}, Row{"all killed", killAll},
-          Row{"frames lost", loseFrames}, Row{"frames slow", slowFrames},
-          Row{"one cut off", isolateOne}, Row{"some frozen", freezeSome}}) {
+         {Row{"nothing", noFault}, Row{"instances killed in turn", killInTurn},
+          Row{"all instances killed", killAll}, Row{"frames lost", loseFrames},
+          Row{"frames delayed", slowFrames}, Row{"one instance isolated", isolateOne},
+          Row{"some instances frozen", freezeSome}}) {
         for (const int instances : {1, 6, 40}) {
             for (const double rate : {0.3, 1.0, 8.0}) {
                 for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -101,12 +102,12 @@
                     CAPTURE(rate);
                     CAPTURE(seed);
                     LimitCluster cluster(instances, {rate, rate, {}, {}, {}}, seed);
-                    const Millis named = cluster.now;
+                    const Millis startedAt = cluster.now;
                     sendTraffic(cluster, 100, 10);
                     row.fault(cluster);
                     sendTraffic(cluster, 100, 12);
                     for (const std::size_t upstream : {0, 1})
-                        CHECK(cluster.busiest(upstream, named + Millis(3000)) <= allowed(rate));
+                        CHECK(cluster.busiest(upstream, startedAt + Millis(3000)) <= allowed(rate));
                     CHECK(cluster.refused == 0);
                 }
             }
@@ -114,8 +115,8 @@
     }
 }
 
-// Guards against callers who are refused although the upstreams of their service have room.
-TEST_CASE("where all upstreams are limited, most of what they take is used, by any instance")
+// Guards against callers who are refused although the upstreams of their service have capacity.
+TEST_CASE("when all upstreams are limited, most of what they accept is used from any instance")
 {
     for (const int instances : {1, 6, 40}) {
         for (const double rate : {1.0, 5.0, 20.0}) {
@@ -136,8 +137,8 @@
     }
 }
 
-// Guards against upstreams that stay half idle after their need is over.
-TEST_CASE("when a limit ends all instances know it soon")
+// Guards against upstreams that stay underused after their overload ends.
+TEST_CASE("all instances learn of the end of a limit within seconds")
 {
     LimitCluster cluster(40, {2.0, {}}, 1);
     sendTraffic(cluster, 100, 5);
@@ -152,8 +153,8 @@
     CHECK(cluster.arrivals(0, since) >= 200);
 }
 
-// Guards against hundreds of instances that each send one request before they hear of a limit.
-TEST_CASE("a limit that one instance hears is known to all before they send there")
+// Guards against hundreds of instances that each send one request before they know of a limit.
+TEST_CASE("a limit received by one instance is announced to all within 50 ms")
 {
     LimitCluster cluster(100, {1.0, {}}, 1);
     cluster.at(3).heard(0, 1.0);
@@ -162,8 +163,8 @@
         CHECK(cluster.at(i).hasLimits());
 }
 
-// Guards against credits that idle instances keep from those that have requests.
-TEST_CASE("a credit that no request uses goes back")
+// Guards against idle instances that hold credits while others have requests.
+TEST_CASE("an unused credit is returned to the owner")
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
@@ -185,8 +186,8 @@
     CHECK(isGranted);
 }
 
-// Guards against requests that wait for ever for a credit of an upstream that needs none any more.
-TEST_CASE("whoever waits for a credit goes on when the limit ends")
+// Guards against requests that wait for ever for a credit of an upstream whose limit ended.
+TEST_CASE("requests waiting for a credit proceed when the limit ends")
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
@@ -201,8 +202,8 @@
     CHECK(answered == cluster.count());
 }
 
-// Guards against keepers that do not know of a limit and grant whatever is asked.
-TEST_CASE("a keeper that heard nothing of a limit grants no more than that")
+// Guards against owners that do not know of a limit and grant every query.
+TEST_CASE("an owner that did not receive a limit learns it with the query and keeps to it")
 {
     LimitCluster cluster(6, {{}, {}, {}, {}, {}, {}}, 1);
     for (UpstreamLife incarnation = 0; incarnation < 6; ++incarnation) {
--- a/modules/upstreamlimits/messages/LimitMessages.cpp
+++ b/modules/upstreamlimits/messages/LimitMessages.cpp
@@ -12,7 +12,7 @@
 using nlohmann::json;
 using Limits = LimitMessageLimits;
 
-/** The first element of each frame: format and kind. Another format is refused whole. */
+/** First element of each frame: format and kind. Frames of another format are rejected. */
 enum class Tag : std::uint8_t { Announcement = 0x61, Quota = 0x62 };
 
 constexpr double rateUnit = 1000;
--- a/modules/upstreamlimits/messages/LimitMessages.h
+++ b/modules/upstreamlimits/messages/LimitMessages.h
@@ -11,24 +11,24 @@
 
 namespace cuminrail {
 
-/** "An upstream stated this, so long ago." */
+/** A statement of an upstream, with its age. */
 struct AnnouncedLimit
 {
     UpstreamLife incarnation = 0;
-    /** Nothing if it takes all requests. */
+    /** Requests a second; nothing if it is not limited. */
     std::optional<double> perSecond;
     Millis age;
 };
 
-/** What instances tell one another of upstreams' limits. */
+/** Announces or reports limits of upstreams to another instance. */
 struct LimitAnnouncement
 {
-    /** The receiver is to tell all instances what it did not know. */
+    /** The receiver announces to all instances what it did not know. */
     bool isReport = false;
     std::vector<AnnouncedLimit> limits;
 };
 
-/** A frame of the quotas that limits are kept as. */
+/** A frame of the QuotaExchange that enforces the limits as quotas. */
 struct LimitQuotaFrame
 {
     std::string frame;
@@ -36,19 +36,19 @@
 
 using LimitMessage = std::variant<LimitAnnouncement, LimitQuotaFrame>;
 
-/** Bounds on what a message may hold. */
+/** Upper bounds of message fields. */
 struct LimitMessageLimits
 {
     static constexpr std::size_t limits = 64;
     static constexpr std::size_t frameBytes = 1024;
-    /** Rates travel in thousandths of a request a second. */
+    /** Rates are encoded in thousandths of a request a second. */
     static constexpr std::uint64_t thousandths = 1'000'000'000;
     static constexpr std::uint64_t millis = 3'600'000;
 };
 
 /** Encodes a message as a frame for another instance. */
 std::string encodeLimitMessage(const LimitMessage &message);
-/** Returns nothing for what is no message of a known format, whole and within bounds. */
+/** Returns nothing unless the frame is a complete message of a known format within bounds. */
 std::optional<LimitMessage> decodeLimitMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/upstreamlimits/messages/LimitMessages_test.cpp
+++ b/modules/upstreamlimits/messages/LimitMessages_test.cpp
@@ -4,7 +4,7 @@
 
 using namespace cuminrail;
 
-TEST_CASE("each message about limits reads back as it was written")
+TEST_CASE("each limit message decodes to what was encoded")
 {
     for (const std::optional<double> rate :
          {std::optional<double>(1.125), std::optional<double>()}) {
@@ -26,8 +26,8 @@
     CHECK(std::get<LimitQuotaFrame>(*quota).frame == bytes);
 }
 
-// Guards against frames cut short, of other formats or out of bounds that limit an upstream.
-TEST_CASE("what is no whole message about limits is refused")
+// Guards against truncated, foreign or out-of-bounds frames that would limit an upstream.
+TEST_CASE("incomplete or out-of-bounds limit messages are rejected")
 {
     const std::string good = encodeLimitMessage(LimitAnnouncement{false, {{7, 1.0, Millis(70)}}});
     for (std::size_t length = 0; length < good.size(); ++length)
--- a/modules/upstreamlimits/table/LimitTable.cpp
+++ b/modules/upstreamlimits/table/LimitTable.cpp
@@ -7,7 +7,7 @@
 LimitChange LimitTable::update(const StatedLimit &stated)
 {
     const auto found = limits_.find(stated.incarnation);
-    // Nearly all upstreams state none, and need no entry for that.
+    // Nearly all upstreams state no limit, and need no entry for that.
     if (found == limits_.end() && (!stated.perSecond || limits_.size() >= maxEntries))
         return LimitChange::None;
     if (found != limits_.end() && stated.receivedAt < found->second.receivedAt)
--- a/modules/upstreamlimits/table/LimitTable.h
+++ b/modules/upstreamlimits/table/LimitTable.h
@@ -9,49 +9,51 @@
 
 namespace cuminrail {
 
-/** What an upstream stated about the requests that it takes. */
+/** The request rate that an upstream stated to accept. */
 struct StatedLimit
 {
     UpstreamLife incarnation = 0;
-    /** Requests a second from all instances together; nothing if it takes all. */
+    /** Requests a second from all instances together; nothing if it is not limited. */
     std::optional<double> perSecond;
-    /** When it was heard, by this machine's clock. */
+    /** When the statement was received, by this machine's clock. */
     Millis receivedAt;
 };
 
-/** How a statement compares with what was known. */
+/** How a statement differs from the previous one. */
 enum class LimitChange : std::uint8_t {
     None,
-    /** The same kind of limit with a rate that differs little, or none before and after. */
+    /** The rate differs little, or there is no limit before and after. */
     Slight,
-    /** A limit begins, ends or differs much. */
+    /** A limit begins, ends or differs by more than markedChangeShare. */
     Marked,
 };
 
 /**
-    The newest limits that upstreams stated, as one instance knows them.
+        One instance's table of the latest limits that upstreams stated.
+
+    Statements come from responses and from other instances, in any order; the one received from the
+    upstream last wins. A limit that no response stated within the retention expires; the next
+    response states it again.
 
-    Statements come from answers and from other instances, in any order; the one heard last holds. A
-    limit that nobody heard for a while is forgotten: the next answer tells it again.
 */
 class LimitTable
 {
 public:
     static constexpr Millis retention = Millis::seconds(30);
-    /** A rate that differs by more than this part is told to others at once. */
+    /** A rate that differs by more than this share is announced to other instances at once. */
     static constexpr double markedChangeShare = 0.1;
     static constexpr std::size_t maxEntries = 4096;
 
-    /** Takes in a statement, unless a newer one of the same upstream is known. */
+    /** Stores a statement, unless a newer one of the same upstream is known. */
     LimitChange update(const StatedLimit &stated);
-    /** Returns what is known of an upstream, or null. */
+    /** Returns the upstream's latest statement, or null. */
     const StatedLimit *find(UpstreamLife incarnation) const;
-    /** Returns the requests a second that an upstream takes, or nothing if it takes all. */
+    /** Returns the requests a second that an upstream accepts, or nothing if it is not limited. */
     std::optional<double> limit(UpstreamLife incarnation) const;
     bool hasLimits() const { return limited_ > 0; }
     std::size_t limited() const { return limited_; }
     std::vector<StatedLimit> all() const;
-    /** Forgets what was heard too long ago. Returns true if a limit was among it. */
+    /** Removes expired statements. Returns true if one of them was a limit. */
     bool expire(Millis now);
 
 private:
--- a/modules/upstreamlimits/table/LimitTable_test.cpp
+++ b/modules/upstreamlimits/table/LimitTable_test.cpp
@@ -4,8 +4,8 @@
 
 using namespace cuminrail;
 
-// Guards against a limit's end that a later told, older statement undoes, and the reverse.
-TEST_CASE("the statement that was heard last holds, in whatever order they come")
+// Guards against an older statement that arrives late and undoes the end of a limit, or a limit.
+TEST_CASE("the statement received from the upstream last wins, in whatever order they arrive")
 {
     struct Row
     {
@@ -30,8 +30,8 @@
     }
 }
 
-// Guards against an upstream that nobody uses any more because its limit's end was never heard.
-TEST_CASE("a limit that nobody heard for a while is forgotten")
+// Guards against an upstream that stays unused because the end of its limit was missed.
+TEST_CASE("a limit that is not stated again expires")
 {
     LimitTable table;
     table.update({7, 1.0, Millis(0)});
@@ -44,7 +44,7 @@
     CHECK(table.all().size() == 1);
 }
 
-TEST_CASE("no more upstreams are remembered than there may be")
+TEST_CASE("the table holds no more than maxEntries upstreams")
 {
     LimitTable table;
     for (UpstreamLife incarnation = 0; incarnation < LimitTable::maxEntries + 10; ++incarnation)
--- a/modules/upstreamlimits/testing/LimitCluster.h
+++ b/modules/upstreamlimits/testing/LimitCluster.h
@@ -15,17 +15,18 @@
 namespace cuminrail::testing {
 
 /**
-    Instances in virtual time that send requests to upstreams, some of which name limits; and a
-   judge that knows all arrivals.
+        Simulated instances in virtual time that send requests to upstreams, some of which state
+   limits.
+
+    Simulates the gateway's part: a request is sent to any upstream that it may use, or waits for a
+    credit, or is refused. Counts all arrivals, including those from instances that do not know of a
+    limit yet, although the rule excludes these.
 
-    Stands for a gateway's part: a request goes to any upstream that it may use, or waits for a
-    credit, or is refused. The judge counts all arrivals, also those of instances that have not been
-    told, which the rule leaves out.
 */
 class LimitCluster : public FrameNetwork
 {
 public:
-    /** @param limits  what each upstream names; nothing for one that takes all */
+    /** @param limits  the limit that each upstream states; nothing for an unlimited one */
     LimitCluster(int instances, std::vector<std::optional<double>> limits, std::uint64_t seed)
         : FrameNetwork(seed), limits_(std::move(limits)), arrivals_(limits_.size())
     {
@@ -38,7 +39,7 @@
     LimitExchange &at(int i) { return *instances_[static_cast<std::size_t>(i)]; }
 
     void setLimit(std::size_t upstream, std::optional<double> limit) { limits_[upstream] = limit; }
-    /** What an instance does is excused from now on for a while, as the rule excuses it. */
+    /** Excludes arrivals from an instance for excusedFor from now, as the rule does. */
     void excuse(int i) { excusedUntil_[i] = now + excusedFor; }
 
     void kill(int i)
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Returns the most that one upstream got within four seconds after an instant, from all. */
+    /** Returns the most arrivals at one upstream within any four seconds after an instant. */
     std::size_t busiest(std::size_t upstream, Millis since) const
     {
         std::deque<Millis> recent;
--- a/modules/upstreamlimits/upstreamlimits.h
+++ b/modules/upstreamlimits/upstreamlimits.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /**
-    Limits that upstreams in need name in their answers, kept over all instances together.
+        Request rate limits that overloaded upstreams state in their responses, enforced over all
+    instances together.
 
     Depends on core, ports, membership (bounds and encoding of frames), keepers, quotas.
 */
