--- a/modules/keepers/keepers.h
+++ b/modules/keepers/keepers.h
@@ -1,10 +1,12 @@
 #pragma once
 
 /**
-    Which instance keeps the state of a key that all instances ask about.
+        Determines which instance owns the state of a key that all instances query.
+
+    The prefill tracker of an engine and the quota bucket of a customer are each held in the memory
+    of one instance. All instances compute the same owner for a key, and exclude an owner that does
+    not reply.
 
-    Books of engines and customers' quotas both live in the memory of one instance each. All
-    instances work out alike which one that is, and pass over one that does not answer.
 
     Depends on core, ports.
 */
--- a/modules/keepers/ranking/KeeperRanking.cpp
+++ b/modules/keepers/ranking/KeeperRanking.cpp
@@ -14,7 +14,7 @@
         const std::uint64_t hash = StableHash().add(peer.instance.text()).value();
         owners_.push_back({std::move(peer), hash});
     }
-    // Those with the lowest hashes, so that an instance that comes or goes changes one keeper.
+    // Those with the lowest hashes, so that an instance that joins or leaves changes one owner.
     std::sort(owners_.begin(), owners_.end(),
               [](const Ranked &one, const Ranked &other) { return one.hash < other.hash; });
     const std::size_t ownerCount = std::max(minOwners, owners_.size() / instancesPerOwner);
@@ -97,7 +97,7 @@
     if (++missed.count < maxMissedReplies)
         return;
     missed.excludedUntil = now + exclusionPeriod;
-    // One more silence after that time is enough to pass it over again.
+    // After that time one more missed reply excludes it again.
     missed.count = maxMissedReplies - 1;
 }
 
--- a/modules/keepers/ranking/KeeperRanking.h
+++ b/modules/keepers/ranking/KeeperRanking.h
@@ -11,60 +11,62 @@
 
 namespace cuminrail {
 
-/** Hash of what is kept: an engine's address, a customer's name. */
+/** Hash of what is owned, such as an engine's address or a customer's name. */
 using OwnershipKey = std::uint64_t;
 
-/** An instance that may keep state for the others. */
+/** An instance that may own state for the others. */
 struct KeeperCandidate
 {
     InstanceId instance;
-    /** Where it takes links; empty for this instance itself. */
+    /** Address on which it accepts links; empty for this instance itself. */
     PeerAddress address;
 };
 
 /**
-    Which instance keeps the state of a key.
+        Determines which instance owns the state of a key, by rendezvous hashing.
 
-    Load: hundreds of instances that start together and ask each other at once. Were all of them
-    keepers, each would need a link to every other one, and most first questions would go unanswered
-    while those are set up. So a part of them are keepers, and links to those few are held ready.
+    Expected load: hundreds of instances that start together and query each other at once. If all of
+    them were owners, each would need a link to every other one, and most of the first queries would
+    get no reply while the links are set up. Therefore only some of them are owners, and links to
+    these are kept open.
+
+    All instances compute the same ranking from the registered instances, so no agreement protocol
+    is needed. A dead instance can stay registered for a minute before its entry expires: an owner
+    that leaves queries without a reply is excluded for a while, and the next one in the ranking
+    takes over its keys, without their state.
 
-    All instances work it out alike by rendezvous hashing over those that are registered, so nothing
-    has to be agreed. A registered instance can be dead for a minute before its entry lapses: one
-    that leaves questions unanswered is passed over for a while, and the next in order takes its
-    keys over, without their state.
 */
 class OwnerRanking
 {
 public:
-    /** Unanswered questions in a row after which a keeper is passed over, and for how long. */
+    /** Consecutive queries without a reply after which an owner is excluded, and for how long. */
     static constexpr int maxMissedReplies = 2;
     static constexpr Millis exclusionPeriod = Millis(2000);
 
-    /** One instance in so many is a keeper, where there are many. */
+    /** One instance in this many is an owner, but at least minOwners are. */
     static constexpr std::size_t instancesPerOwner = 4;
     static constexpr std::size_t minOwners = 16;
 
-    /** The first is this instance. Returns false if the keepers are the same as before. */
+    /** The first is this instance. Returns false if the owners are the same as before. */
     bool setPeers(std::vector<KeeperCandidate> peers);
     bool isEmpty() const { return owners_.empty(); }
-    /** Whether this instance is one of the keepers. */
+    /** Whether this instance is one of the owners. */
     bool isOwner() const;
-    /** Links of all keepers but this instance. */
+    /** Addresses of all owners but this instance. */
     std::vector<PeerAddress> addresses() const;
 
-    /** Whether this instance keeps the key while no keeper is passed over. */
+    /** Whether this instance is the primary owner of the key: its owner while none is excluded. */
     bool ownsKey(OwnershipKey key) const { return primaryOwnerOf(key).empty(); }
-    /** Returns the keeper's address while none is passed over; empty for this instance. */
+    /** Returns the address of the key's owner while none is excluded; empty for this instance. */
     const PeerAddress &primaryOwnerOf(OwnershipKey key) const;
     /**
-        Returns the first few in the key's order, whether passed over or not; an empty address is
+        Returns the first owners in the key's ranking, whether excluded or not; an empty address is
         this instance's.
     */
     std::vector<PeerAddress> ownersOf(OwnershipKey key, std::size_t maxCount) const;
-    /** Returns the keeper's address; empty for this instance. */
+    /** Returns the address of the first owner that is not excluded; empty for this instance. */
     const PeerAddress &ownerOf(OwnershipKey key, Millis now) const;
-    /** The same where one keeper, just found silent, is left out as well. */
+    /** Like ownerOf(), but also skips one owner that has just missed a reply. */
     const PeerAddress &nextOwnerOf(const PeerAddress &unresponsive, OwnershipKey key,
                                    Millis now) const;
     void recordReply(const PeerAddress &peer) { missedReplies_.erase(peer); }
@@ -83,7 +85,8 @@
         std::uint64_t hash = 0;
     };
 
-    /** Returns the address of the first in the key's order that is not left out, or the own one. */
+    /** Returns the address of the first owner in the key's ranking that is not skipped, or self_.
+     */
     template<typename IsSkipped>
     const PeerAddress &firstAllowed(OwnershipKey key, IsSkipped isSkipped) const;
     bool isExcluded(const PeerAddress &peer, Millis now) const;
--- a/modules/keepers/ranking/KeeperRanking_test.cpp
+++ b/modules/keepers/ranking/KeeperRanking_test.cpp
@@ -11,7 +11,7 @@
 
 constexpr OwnershipKey keyCount = 800;
 
-/** What instance @c self works out of so many that are registered. */
+/** Returns the ranking that instance @c self computes with @c count registered instances. */
 OwnerRanking rankingOf(int self, int count, int without = -1)
 {
     std::vector<KeeperCandidate> peers{{InstanceId("i-" + std::to_string(self)), {}}};
@@ -32,9 +32,9 @@
 
 } // namespace
 
-// Two hundred instances start together, and each asks at once. The more of them keep books, the
-// more links have to be set up before the first questions can be answered.
-TEST_CASE("a part of many instances keeps the books, and all agree on which")
+// Guards against first queries without a reply when two hundred instances start together: the more
+// of them are owners, the more links have to be set up first.
+TEST_CASE("some of many instances are owners, and all instances compute the same ones")
 {
     struct Row
     {
@@ -57,9 +57,9 @@
     }
 }
 
-// A keeper is gone for good. Its books begin anew elsewhere; if all moved, every estimate would be
-// wrong for seconds.
-TEST_CASE("an instance that goes moves its own books only")
+// Guards against a ranking that moves the keys of all owners when one leaves for good. State starts
+// empty at a new owner, so every estimate would be wrong for seconds.
+TEST_CASE("an instance that leaves moves only its own keys")
 {
     const OwnerRanking before = rankingOf(0, 195);
     for (int removed = 1; removed < 195; removed += 13) {
@@ -68,12 +68,14 @@
         int moved = 0;
         for (OwnershipKey key = 1; key <= keyCount; ++key)
             moved += ownerOf(before, key, 0) == ownerOf(after, key, 0) ? 0 : 1;
-        // One of 48 goes and another one comes.
+        // One of 48 owners leaves and another one takes its place.
         CHECK(moved <= static_cast<int>(keyCount) * 3 / 48 + 1);
     }
 }
 
-TEST_CASE("the first few of a key are different keepers, in the same order at every instance")
+// Guards against a report to several owners that reaches one of them twice, or different ones from
+// different instances.
+TEST_CASE("the first owners of a key are distinct, and in the same order at every instance")
 {
     constexpr int count = 40;
     for (OwnershipKey key = 0; key < keyCount; key += 50) {
--- a/modules/keepers/roster/PeerRoster.h
+++ b/modules/keepers/roster/PeerRoster.h
@@ -9,17 +9,17 @@
 
 namespace cuminrail {
 
-/** The other instances that can be told something. */
+/** The other instances to which messages can be sent. */
 class PeerDirectory
 {
 public:
-    /** Tells whether a link is ready; may be left out, all are then. */
+    /** Returns whether a link is ready; if not set, all links count as ready. */
     std::function<bool(const PeerAddress &)> isLinked;
 
-    /** All instances, this one among them without an address. */
+    /** All instances; this one is among them with an empty address. */
     void setPeers(const std::vector<KeeperCandidate> &peers);
     const std::vector<PeerAddress> &all() const { return all_; }
-    /** Returns one to which a link is ready, by chance; nothing if there is none. */
+    /** Returns a random peer with a ready link; nothing if there is none. */
     std::optional<PeerAddress> anyLinked(const RandomHook &random) const;
 
 private:
--- a/modules/keepers/testing/FrameNetwork.h
+++ b/modules/keepers/testing/FrameNetwork.h
@@ -16,8 +16,9 @@
 namespace cuminrail::testing {
 
 /**
-    Links between numbered instances in virtual time, which a test delays, loses and cuts; base of
-    clusters that run decision modules.
+        Simulated links between numbered instances in virtual time, whose frames a test delays,
+   drops or blocks. Base class of clusters that run decision modules.
+
 */
 class FrameNetwork
 {
@@ -26,7 +27,7 @@
 
     static std::string nameOf(int i) { return "i-" + std::to_string(i); }
     static int numberOf(const PeerAddress &address) { return std::stoi(address.substr(2)); }
-    /** All instances as one of them knows them, itself first. */
+    /** The list of all instances for instance @c i, itself first. */
     static std::vector<KeeperCandidate> peersOf(int i, int count)
     {
         std::vector<KeeperCandidate> peers{{InstanceId(nameOf(i)), {}}};
@@ -41,9 +42,9 @@
 
     Millis now = Millis(100000);
     std::set<int> dead;
-    /** Takes in nothing and sends nothing until it is taken out again. */
+    /** Instances that neither receive nor send until they are removed from this set. */
     std::set<int> frozen;
-    /** Whether a frame from one instance to another one is lost. */
+    /** Whether frames from one instance to another one are dropped. */
     std::function<bool(int from, int to)> isCut = [](int, int) { return false; };
     int lossPercent = 0;
     Millis maxDelay = Millis(4);
@@ -60,7 +61,7 @@
         return transport;
     }
 
-    /** Hands out what has arrived; frames to a frozen instance wait. */
+    /** Delivers frames that are due; frames to a frozen instance wait. */
     void deliver(const std::function<void(int to, const PeerAddress &from,
                                           const std::string &frame)> &receive)
     {
