--- a/modules/keepers/ranking/KeeperRanking.h
+++ b/modules/keepers/ranking/KeeperRanking.h
@@ -23,7 +23,7 @@
 };
 
 /**
-        Determines which instance owns the state of a key, by rendezvous hashing.
+    Determines which instance owns the state of a key, by rendezvous hashing.
 
     Expected load: hundreds of instances that start together and query each other at once. If all of
     them were owners, each would need a link to every other one, and most of the first queries would
@@ -34,7 +34,6 @@
     is needed. A dead instance can stay registered for a minute before its entry expires: an owner
     that leaves queries without a reply is excluded for a while, and the next one in the ranking
     takes over its keys, without their state.
-
 */
 class OwnerRanking
 {
--- a/modules/keepers/testing/FrameNetwork.h
+++ b/modules/keepers/testing/FrameNetwork.h
@@ -16,9 +16,8 @@
 namespace cuminrail::testing {
 
 /**
-        Simulated links between numbered instances in virtual time, whose frames a test delays,
-   drops or blocks. Base class of clusters that run decision modules.
-
+    Simulated links between numbered instances in virtual time, whose frames a test delays, drops or
+    blocks. Base class of clusters that run decision modules.
 */
 class FrameNetwork
 {
--- a/modules/quarantine/book/SuspectBook.h
+++ b/modules/quarantine/book/SuspectBook.h
@@ -42,12 +42,11 @@
 }}};
 
 /**
-        One instance's table of requests under which upstreams ended.
+    One instance's table of requests under which upstreams ended.
 
     A request that completed anywhere within the last minute is not suspected: an upstream that
     fails for another reason interrupts many such requests. The table is bounded; the oldest entries
     are evicted first.
-
 */
 class SuspicionTable
 {
--- a/modules/quarantine/exchange/QuarantineExchange.h
+++ b/modules/quarantine/exchange/QuarantineExchange.h
@@ -29,7 +29,7 @@
 };
 
 /**
-        One instance's part in detecting requests that end the upstreams that run them.
+    One instance's part in detecting requests that end the upstreams that run them.
 
     Expected load: one request sent again under new identities to any of hundreds of instances, each
     of which sees one end at most; and engines that fail for other reasons with dozens of requests
@@ -42,7 +42,6 @@
     second (anti-entropy), which repairs lost frames and updates instances that were unreachable.
 
     Not thread-safe: used from one thread. No call blocks.
-
 */
 class QuarantineExchange
 {
--- a/modules/quarantine/fingerprint/RequestFingerprint.h
+++ b/modules/quarantine/fingerprint/RequestFingerprint.h
@@ -8,9 +8,8 @@
 namespace cuminrail {
 
 /**
-        Hash of a request's content, independent of its request id: the same customer, path and body
+    Hash of a request's content, independent of its request id: the same customer, path and body
     give the same fingerprint at every instance. It does not reveal any of them.
-
 */
 class RequestFingerprint
 {
--- a/modules/quarantine/quarantine.h
+++ b/modules/quarantine/quarantine.h
@@ -1,13 +1,12 @@
 #pragma once
 
 /**
-        Quarantine of requests that make the upstreams that run them crash.
+    Quarantine of requests that make the upstreams that run them crash.
 
     A request is recognized by its content, whoever sends it and at whichever instance it arrives.
     Instances announce to each other under which requests upstreams ended; quarantined requests are
     persisted in the store.
 
-
     Depends on core, ports, identity (hashes), keepers, membership (bounds and encoding of frames).
 */
 
--- a/modules/quarantine/testing/QuarantineCluster.h
+++ b/modules/quarantine/testing/QuarantineCluster.h
@@ -13,13 +13,12 @@
 namespace cuminrail::testing {
 
 /**
-        Simulated instances in virtual time that send requests to engines, some of them fatal to the
+    Simulated instances in virtual time that send requests to engines, some of them fatal to the
     engine that runs them. Records all sends.
 
     Simulates the gateway's part: a request is sent to one engine, and retried on a second one if
     the first ended, unless it is suspected. An engine that ends interrupts all requests that it
     runs, and is back as a new incarnation after some seconds.
-
 */
 class QuarantineCluster : public FrameNetwork
 {
--- a/modules/quotas/book/QuotaBook.h
+++ b/modules/quotas/book/QuotaBook.h
@@ -24,7 +24,7 @@
 };
 
 /**
-        Token buckets of the customers that one instance owns.
+    Token buckets of the customers that one instance owns.
 
     Expected load: a customer sends many times its quota, in requests of a hundred to ninety
     thousand tokens. A bucket with a positive level grants a request of any size that leaves it
@@ -34,9 +34,8 @@
 
     In each window a quota allows its rate and its burst, plus a tolerance. Bucket depth, refill in
     one window and one debt together stay below this sum, so a request that the window still allows
-    is not refused for long. New buckets, and use that instances grant locally without a query,
-    have shares of the tolerance of their own.
-
+    is not refused for long. New buckets, and use that instances grant locally without a query, have
+    shares of the tolerance of their own.
 */
 class QuotaLedger
 {
--- a/modules/quotas/exchange/QuotaExchange.h
+++ b/modules/quotas/exchange/QuotaExchange.h
@@ -62,7 +62,7 @@
 };
 
 /**
-        One instance's part in enforcing customer quotas: it owns the buckets of some customers, and
+    One instance's part in enforcing customer quotas: it owns the buckets of some customers, and
     queries the owners of the others.
 
     Expected load: requests so large that a customer's quota covers some dozens of them in a window,
@@ -74,7 +74,6 @@
     of the tolerance divided by the number of instances, and are charged to the owner afterwards.
 
     Not thread-safe: used from one thread. No call blocks.
-
 */
 class QuotaExchange
 {
--- a/modules/quotas/testing/QuotaCluster.h
+++ b/modules/quotas/testing/QuotaCluster.h
@@ -15,9 +15,8 @@
 namespace cuminrail::testing {
 
 /**
-        Simulated instances in virtual time that share customer quotas over links whose frames a
-   test delays, drops or blocks. Records all requests that ran, over all instances.
-
+    Simulated instances in virtual time that share customer quotas over links whose frames a test
+    delays, drops or blocks. Records all requests that ran, over all instances.
 */
 class QuotaCluster : public FrameNetwork
 {
--- a/modules/readingbooks/book/ReadingBook.cpp
+++ b/modules/readingbooks/book/ReadingBook.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** One answer corrects the foreseen end by this part of its lateness; singles vary. */
+/** Share of a response's lateness by which estimates are corrected, as single responses vary. */
 constexpr double correctionWeight = 0.5;
 
 double asNumber(Millis instant)
@@ -28,10 +28,10 @@
 }
 
 void ReadingBook::enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
-                        const ReadingPace &speed, Millis now)
+                        const ReadingPace &rate, Millis now)
 {
     expireOld(now);
-    // Doubled on the way, an entry would count twice and be taken back once.
+    // An entry duplicated in transit would otherwise count twice, but be cancelled only once.
     if (prefills_.count(id) > 0)
         return;
     if (!startedAt_)
@@ -39,10 +39,10 @@
     const double missing = double(chain.tokens) - double(sentParts_.cachedTokens(chain));
     const double fresh = std::min(missing, freshTokens);
     sentParts_.remember(chain);
-    const double millis = fresh / std::max(speed.tokensPerMilli, 1.0);
+    const double millis = fresh / std::max(rate.tokensPerMilli, 1.0);
     const double freeAt = prefills_.empty() ? asNumber(now) : std::max(freeAt_, asNumber(now));
     freeAt_ = freeAt + millis;
-    prefills_[id] = Prefill{millis, freeAt_, speed.fixedMillis, now, chain};
+    prefills_[id] = Prefill{millis, freeAt_, rate.fixedMillis, now, chain};
 }
 
 void ReadingBook::read(const ReadingTicket &id, Millis now)
--- a/modules/readingbooks/book/ReadingBook.h
+++ b/modules/readingbooks/book/ReadingBook.h
@@ -12,7 +12,7 @@
 
 namespace cuminrail {
 
-/** Names one reading: who entered it, and that instance's own number for it. */
+/** Identifies one prefill: the instance that announced it, and that instance's number for it. */
 struct ReadingTicket
 {
     std::string instance;
@@ -24,57 +24,59 @@
     }
 };
 
-/** How fast engines of one kind read, as an instance has learned it. */
+/** Prefill rate of engines of one kind, as estimated by an instance. */
 struct ReadingPace
 {
     double tokensPerMilli = 1;
-    /** What an answer takes besides reading. */
+    /** Time until the first response that does not depend on the prompt. */
     double fixedMillis = 0;
 };
 
 /**
-    Which prompts one engine has still to read, and which parts it holds, over all instances.
+    Tracks one engine's pending prefills and cached prompt parts, over all instances.
 
-    An instance sees only its own prompts. With nine instances an engine that looks idle to one is
-    busy with the prompts of eight others, and a part that was read there yesterday by another one
-    seems to be missing. So for each engine one instance keeps a book, and all others tell it
-    what they send there.
+    An instance sees only its own prompts. With nine instances, an engine that looks idle to one is
+    busy with the prompts of the eight others, and a part that it prefilled earlier for another
+    instance seems to be missing from its cache. Therefore one instance tracks each engine, and all
+    others announce to it what they send there.
 
-    The engine reads in the order of arrival. The book therefore knows when it will be done with all
-    of it; answers that come later or earlier than foreseen correct that. An answer also shows that
-    everything entered before was read, so a lost message about one of those does no harm.
+    The engine prefills prompts in the order of arrival, so the tracker can estimate when it will
+    have finished all of them. Responses that arrive later or earlier than estimated correct this. A
+    response also shows that everything announced before was prefilled, so a lost message about one
+    of those does no harm.
 */
 class ReadingBook
 {
 public:
-    /** Entries that nobody took back are forgotten after the longest present time-out. */
+    /** Entries that nobody ended expire after the longest time-out in use. */
     static constexpr Millis maxPrefillDuration = Millis::seconds(10);
-    /** A book has seen too little for this long after its first entry to speak of parts. */
+    /** For this long after its first entry a tracker has seen too little to know cached parts. */
     static constexpr Millis warmUpPeriod = Millis::seconds(10);
 
-    /** @param isComplete  the engine has read nothing yet */
+    /** @param isComplete  the engine has not prefilled any prompt yet */
     explicit ReadingBook(bool isComplete = false) : isComplete_(isComplete) { }
 
-    /** Returns what a prompt would meet there now. */
+    /** Returns the estimate for a prompt that is sent to the engine now. */
     ReadingOffer offer(const PromptChain &chain, Millis now) const;
     /**
-        Enters a reading that is sent there; a ticket that is known changes nothing. The engine
-       reads at most @c freshTokens: the sender may have it fetch a part from another engine.
+        Adds a prefill that is being sent to the engine; an id that is already known has no effect.
+        The engine prefills @c freshTokens at most, as the sender may have it fetch a part from
+        another engine.
     */
     void enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
-               const ReadingPace &speed, Millis now);
-    /** The prompt was read, and the answer came now. */
+               const ReadingPace &rate, Millis now);
+    /** The prompt was prefilled, and its response arrived now. */
     void read(const ReadingTicket &id, Millis now);
-    /** The reading did not take place, or was ended. */
+    /** The prefill did not take place, or was aborted. */
     void takeBack(const ReadingTicket &id, Millis now);
 
 private:
     struct Prefill
     {
         double millis = 0;
-        /** When it should be over. */
+        /** Estimated end of the prefill. */
         double endsAt = 0;
-        /** What its answer takes besides. */
+        /** Time from there to its response. */
         double fixedMillis = 0;
         Millis announcedAt;
         PromptChain chain;
@@ -85,12 +87,12 @@
     static bool isExpired(const Prefill &prefill, Millis now);
 
     std::map<ReadingTicket, Prefill> prefills_;
-    /** Parts that were sent there, and of these the ones that have been read. */
+    /** Parts of prompts that were sent there, and of these the ones that have been prefilled. */
     RememberedParts sentParts_;
     RememberedParts prefilledParts_;
-    /** When everything entered should have been read, in milliseconds of the local clock. */
+    /** Estimated end of all pending prefills, in milliseconds of the local clock. */
     double freeAt_ = 0;
-    /** The reading that was to be over at this time is over, and so are all before it. */
+    /** All prefills with an estimated end up to this time are complete. */
     double completedUpTo_ = 0;
     std::optional<Millis> startedAt_;
     bool isComplete_;
--- a/modules/readingbooks/book/ReadingBook_test.cpp
+++ b/modules/readingbooks/book/ReadingBook_test.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr ReadingPace speed{50, 100};
-/** More than any prompt has: nothing is fetched from another engine. */
+constexpr ReadingPace rate{50, 100};
+/** More tokens than any prompt has: nothing is fetched from another engine. */
 constexpr double allTokens = 1e9;
 
 PromptChain chainOf(std::uint64_t shared, std::uint64_t own)
@@ -21,37 +21,41 @@
 
 } // namespace
 
-TEST_CASE("a prompt waits for what all instances have sent before")
+// Guards against an engine that looks idle to one instance while it is busy with prompts of others.
+TEST_CASE("the estimated wait covers pending prefills of all instances")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(1000));
-    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, speed, Millis(1000));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(1000));
+    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, rate, Millis(1000));
     CHECK(tracker.offer(chainOf(5, 6), Millis(1000)).waitMillis == doctest::Approx(480));
-    // The engine reads on whether anybody asks or not.
+    // The engine proceeds whether or not it is queried.
     CHECK(tracker.offer(chainOf(5, 6), Millis(1300)).waitMillis == doctest::Approx(180));
     tracker.read({"a", 1}, Millis(1340));
     CHECK(tracker.offer(chainOf(5, 6), Millis(1500)).waitMillis == doctest::Approx(0));
 }
 
-TEST_CASE("a part that any instance sent there is not read again")
+// Guards against estimates that count a prompt part again that the engine holds by then.
+TEST_CASE("a part that any instance sent there does not count as fresh")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
     CHECK(tracker.offer(chainOf(1, 3), Millis(0)).freshTokens == doctest::Approx(2000));
     CHECK(tracker.offer(chainOf(7, 3), Millis(0)).freshTokens == doctest::Approx(12000));
 }
 
-TEST_CASE("a young book does not claim to know the engine's parts")
+// Guards against a new tracker that reports parts as missing because it has not seen them yet.
+TEST_CASE("a tracker reports cached parts as unknown during its warm-up period")
 {
     ReadingBook tracker;
     CHECK_FALSE(tracker.offer(chainOf(1, 2), Millis(50000)).knowsParts);
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(50000));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(50000));
     CHECK_FALSE(
         tracker.offer(chainOf(1, 2), Millis(50000) + ReadingBook::warmUpPeriod / 2).knowsParts);
     CHECK(tracker.offer(chainOf(1, 2), Millis(50000) + ReadingBook::warmUpPeriod).knowsParts);
 }
 
-TEST_CASE("a book from before the engine's first prompt is complete at once")
+// Guards against a warm-up period for new engines, whose cached parts are known from the start.
+TEST_CASE("a tracker that exists since before the engine's first prompt is complete at once")
 {
     for (const bool isComplete : {false, true}) {
         CAPTURE(isComplete);
@@ -62,7 +66,8 @@
     }
 }
 
-TEST_CASE("answers correct when the engine will be free")
+// Guards against estimates that drift away from an engine that is faster or slower than expected.
+TEST_CASE("late or early responses correct the estimated wait")
 {
     struct Row
     {
@@ -70,89 +75,93 @@
         int repliedAt;
         double waitMillis;
     };
-    // Two prompts of 240 ms each; the first answer is due at 340.
-    for (const Row &row : {Row{"as foreseen", 340, 140}, Row{"100 ms late", 440, 90},
+    // Two prompts of 240 ms each; the first response is due at 340 ms.
+    for (const Row &row : {Row{"as estimated", 340, 140}, Row{"100 ms late", 440, 90},
                            Row{"100 ms early", 240, 190}}) {
         CAPTURE(row.what);
         ReadingBook tracker;
-        tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
-        tracker.enter({"a", 2}, chainOf(3, 4), allTokens, speed, Millis(0));
+        tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
+        tracker.enter({"a", 2}, chainOf(3, 4), allTokens, rate, Millis(0));
         tracker.read({"a", 1}, Millis(row.repliedAt));
         const double wait = tracker.offer(chainOf(5, 6), Millis(row.repliedAt)).waitMillis;
         CHECK(wait == doctest::Approx(row.waitMillis));
     }
 }
 
-// An engine dies with prompts in it. Nobody answers, so nobody tells the book; by the plan alone
-// the engine would look idle again, and draw every prompt.
-TEST_CASE("an engine that answers nothing does not look idle")
+// Guards against an engine that dies with pending prompts and looks idle once their estimated ends
+// have passed: no response is reported, and it would attract every new prompt.
+TEST_CASE("an engine that sends no responses does not look idle")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
     CHECK(tracker.offer(chainOf(3, 4), Millis(2000)).waitMillis > 1500);
 }
 
-TEST_CASE("a reading that does not take place leaves its time to others")
+// Guards against waits that still include aborted prefills.
+TEST_CASE("a cancelled prefill is removed from the estimated wait")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
-    tracker.enter({"a", 2}, chainOf(3, 4), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
+    tracker.enter({"a", 2}, chainOf(3, 4), allTokens, rate, Millis(0));
     tracker.takeBack({"a", 1}, Millis(100));
     CHECK(tracker.offer(chainOf(5, 6), Millis(100)).waitMillis == doctest::Approx(240));
-    // Taken back twice, or by somebody who never entered it: nothing happens.
+    // Cancelling it twice, or ending an unknown prefill, has no effect.
     tracker.takeBack({"a", 1}, Millis(100));
     tracker.read({"b", 9}, Millis(100));
     CHECK(tracker.offer(chainOf(5, 6), Millis(100)).waitMillis == doctest::Approx(240));
 }
 
-// The message about a reading's end is lost. Until it is forgotten the engine must not look stuck,
-// since all instances would leave a good engine alone for seconds.
-TEST_CASE("an answer shows that all readings before it are over")
+// Guards against a lost end message that makes an engine look stuck until the entry expires, so
+// that all instances avoid a healthy engine for seconds.
+TEST_CASE("a response completes all prefills announced before it")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
-    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
+    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, rate, Millis(0));
     tracker.read({"b", 1}, Millis(580));
     CHECK(tracker.offer(chainOf(5, 6), Millis(3000)).waitMillis == doctest::Approx(0));
-    // What comes later counts as before.
-    tracker.enter({"c", 1}, chainOf(5, 6), allTokens, speed, Millis(3000));
+    // Prefills announced later count as usual.
+    tracker.enter({"c", 1}, chainOf(5, 6), allTokens, rate, Millis(3000));
     CHECK(tracker.offer(chainOf(7, 8), Millis(3000)).waitMillis == doctest::Approx(240));
 }
 
-TEST_CASE("a doubled entry counts once, and all of it is taken back")
+// Guards against an entry that is duplicated in transit and stays counted after it was cancelled.
+TEST_CASE("a duplicated entry counts once and is cancelled completely")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
-    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
+    tracker.enter({"b", 1}, chainOf(3, 4), allTokens, rate, Millis(0));
     CHECK(tracker.offer(chainOf(5, 6), Millis(0)).waitMillis == doctest::Approx(480));
     tracker.takeBack({"a", 1}, Millis(0));
     CHECK(tracker.offer(chainOf(5, 6), Millis(0)).waitMillis == doctest::Approx(240));
 }
 
-// An instance dies between its entry and its end. The entry must not weigh for ever.
-TEST_CASE("an entry that nobody ends is forgotten")
+// Guards against an entry that counts for ever because its instance died before it was ended.
+TEST_CASE("an entry that nobody ends expires")
 {
     ReadingBook tracker;
-    tracker.enter({"dead", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
+    tracker.enter({"dead", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
     const Millis later = ReadingBook::maxPrefillDuration + Millis(1);
     CHECK(tracker.offer(chainOf(5, 6), later).waitMillis == doctest::Approx(0));
 }
 
-// Another engine can fetch only what has been read; what still waits here would be read there anew.
-TEST_CASE("a part counts as held once its prompt was read")
+// Guards against a fetch from an engine that has the prompt pending only: other engines can fetch
+// only what was prefilled, and would have to prefill the rest again.
+TEST_CASE("a part counts as held once its prompt was prefilled")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), allTokens, rate, Millis(0));
     CHECK(tracker.offer(chainOf(1, 3), Millis(100)).heldTokens == doctest::Approx(0));
     tracker.read({"a", 1}, Millis(340));
     CHECK(tracker.offer(chainOf(1, 3), Millis(340)).heldTokens == doctest::Approx(10000));
     CHECK(tracker.offer(chainOf(4, 3), Millis(340)).heldTokens == doctest::Approx(0));
 }
 
-TEST_CASE("what is fetched from elsewhere takes no reading time")
+// Guards against estimates that count parts which the engine fetches from another one.
+TEST_CASE("tokens fetched from another engine take no prefill time")
 {
     ReadingBook tracker;
-    tracker.enter({"a", 1}, chainOf(1, 2), 2000, speed, Millis(0));
+    tracker.enter({"a", 1}, chainOf(1, 2), 2000, rate, Millis(0));
     CHECK(tracker.offer(chainOf(5, 6), Millis(0)).waitMillis == doctest::Approx(40));
 }
--- a/modules/readingbooks/exchange/BookExchange.cpp
+++ b/modules/readingbooks/exchange/BookExchange.cpp
@@ -57,14 +57,14 @@
 }
 
 BookExchange::Entry BookExchange::enter(const PromptChain &chain, EngineKey engine,
-                                        double freshTokens, const ReadingPace &speed)
+                                        double freshTokens, const ReadingPace &rate)
 {
     const Millis now = clock_.now();
     Entry entry{nextNumber_++, engine, owners_.ownerOf(engine, now)};
     if (entry.owner.empty())
-        trackerOf(engine).enter({self_, entry.number}, chain, freshTokens, speed, now);
+        trackerOf(engine).enter({self_, entry.number}, chain, freshTokens, rate, now);
     else
-        send(entry.owner, PrefillStart{entry.number, engine, chain, freshTokens, speed});
+        send(entry.owner, PrefillStart{entry.number, engine, chain, freshTokens, rate});
     return entry;
 }
 
@@ -120,7 +120,7 @@
 void BookExchange::handle(const PeerAddress &from, const PrefillStart &entry)
 {
     trackerOf(entry.engine)
-        .enter({from, entry.number}, entry.chain, entry.freshTokens, entry.speed, clock_.now());
+        .enter({from, entry.number}, entry.chain, entry.freshTokens, entry.rate, clock_.now());
 }
 
 void BookExchange::handle(const PeerAddress &from, const BookEnd &end)
--- a/modules/readingbooks/exchange/BookExchange.h
+++ b/modules/readingbooks/exchange/BookExchange.h
@@ -15,35 +15,36 @@
 struct PrefillExchangeStats
 {
     std::uint64_t queries = 0;
-    /** Questions to other instances that were not answered in time. */
+    /** Queries to other instances that got no reply in time. */
     std::uint64_t unanswered = 0;
     std::uint64_t framesSent = 0;
-    /** Frames that were no message. */
+    /** Frames that were not a valid message. */
     std::uint64_t framesRefused = 0;
 };
 
 /**
-    One instance's part in the books: it keeps those of some engines, and asks for the others.
+    One instance's part in prefill tracking: it tracks some engines, and queries the owners of the
+    others.
 
-    Load: many instances and few engines, with prompts that keep an engine busy for long. Placed
-    blindly, prompts of several instances meet at one engine while others idle.
+    Expected load: many instances and few engines, with prompts that keep an engine busy for long.
+    Without shared state, prompts of several instances queue at one engine while others are idle.
 
-    Belongs to one thread. Messages go out by the transport and come in by received(); nothing here
-    waits. An answer that does not come in time is done without.
+    Not thread-safe: used from one thread. No call blocks. Estimates whose replies do not arrive in
+    time are left out.
 */
 class BookExchange
 {
 public:
     /**
-        How long an answer is waited for. Instances are 1 to 3 ms apart and answer at once; a
-        machine that used up its share of a processor answers up to 100 ms later, which is a
-        quarter of the tightest present goal and not worth waiting for.
+        Time-out of queries. Instances are 1 to 3 ms apart and reply at once. A machine that used up
+        its CPU share replies up to 100 ms later, which is a quarter of the tightest latency goal in
+        use and not worth waiting for.
     */
     static constexpr Millis replyTimeout = Millis(15);
-    /** A book that nobody used for so long is dropped; its engine is gone. */
+    /** A tracker that is unused for this long is dropped, as its engine is gone. */
     static constexpr Millis trackerIdleTimeout = Millis::seconds(60);
 
-    /** Names an entry that was made; empty when none was. */
+    /** Identifies an announced prefill; empty if there is none. */
     struct Entry
     {
         std::uint64_t number = 0;
@@ -57,39 +58,39 @@
 
     BookExchange(std::string self, PeerTransport transport, Clock clock);
 
-    /** All instances, this one first; with an address where they take links. */
+    /** All instances, this one first, each other one with the address on which it accepts links. */
     void setPeers(std::vector<KeeperCandidate> peers);
     /**
-        Tells whether an engine had read nothing at an instant; may be left out. A book that was
-        kept here since then holds all that the engine does. Believed to hold what nobody had it
-       read yet, engines get prompts that take them three times as long as expected: after a start,
-       and while new engines take the place of lost ones.
+        Returns whether an engine had not prefilled anything at an instant; optional. If so, a
+        tracker owned here since that instant knows all parts that the engine holds. An engine that
+        is wrongly estimated to hold parts gets prompts that take it three times as long as
+        estimated: after a start, and while new engines replace lost ones.
     */
     std::function<bool(EngineKey engine, Millis at)> hadReadNothing;
-    /** An engine is gone, or began another life: it holds nothing of what was entered. */
+    /** An engine is gone, or is a new incarnation: it holds none of the announced parts. */
     void forget(EngineKey engine) { trackers_.erase(engine); }
-    /** Links of the other instances that keep books, to be held ready. */
+    /** Addresses of the other instances that own trackers, to which links are kept open. */
     std::vector<PeerAddress> keepers() const { return owners_.addresses(); }
 
     /**
-        Asks what a prompt would meet at engines. The completion is called once, with what is known
-        by then: before this returns where all books are kept here, else at the last answer or at a
-        tick() after the time-out.
+        Requests the estimates for a prompt at some engines. The completion is called once, with the
+        estimates known by then: before this returns if all engines are owned here, else on the last
+        reply or in a tick() after the time-out.
     */
     void ask(const PromptChain &chain, const std::vector<EngineKey> &engines, Completion done);
-    /** The prompt is being sent to an engine. */
+    /** Announces that a prompt is being sent to an engine. */
     Entry enter(const PromptChain &chain, EngineKey engine, double freshTokens,
-                const ReadingPace &speed);
-    /** Its prompt was read. Clears the entry. */
+                const ReadingPace &rate);
+    /** The prompt was prefilled. Clears the entry. */
     void read(Entry &entry) { finishEntry(entry, true); }
-    /** It will not be read there. Clears the entry. */
+    /** The prompt will not be prefilled there. Clears the entry. */
     void takeBack(Entry &entry) { finishEntry(entry, false); }
 
-    /** A frame came from another instance. Returns false if it is no message. */
+    /** Handles a frame from another instance. Returns false if it is not a valid message. */
     bool received(const PeerAddress &from, const std::string &frame);
-    /** Forgets open questions without calling anybody; for the end of the process. */
+    /** Drops pending queries without calling their completions; for the end of the process. */
     void dropQuestions() { pending_.clear(); }
-    /** Ends questions whose time is over; to be called every few milliseconds. */
+    /** Handles time-outs; to be called every few milliseconds. */
     void tick();
 
     const PrefillExchangeStats &stats() const { return stats_; }
@@ -100,7 +101,7 @@
     {
         Completion done;
         Offers estimates;
-        /** Engines of which each keeper was asked. */
+        /** Engines in the query to each owner whose reply is awaited. */
         std::map<PeerAddress, std::vector<EngineKey>> awaited;
         Millis deadline;
     };
@@ -125,7 +126,7 @@
     PeerTransport transport_;
     Clock clock_;
     OwnerRanking owners_;
-    /** When the keepers changed last, and books with them. */
+    /** When the set of owners, and with it the ownership of trackers, last changed. */
     Millis ownersChangedAt_;
     std::unordered_map<EngineKey, TrackedEngine> trackers_;
     std::map<std::uint64_t, Pending> pending_;
--- a/modules/readingbooks/exchange/BookExchange_test.cpp
+++ b/modules/readingbooks/exchange/BookExchange_test.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr ReadingPace speed{50, 100};
+constexpr ReadingPace rate{50, 100};
 constexpr double allTokens = 1e9;
 constexpr EngineKey engines[] = {11, 22, 33, 44, 55, 66};
 
@@ -23,7 +23,7 @@
     return chain;
 }
 
-/** Instances in virtual time, with messages that a test can lose, double or hold up. */
+/** Simulated instances in virtual time whose messages a test can drop, duplicate or delay. */
 class Network
 {
 public:
@@ -35,7 +35,7 @@
             setPeersOf(i, count);
     }
 
-    /** Starts an instance, or starts it again with nothing in its memory. */
+    /** Starts an instance, or restarts it without its state. */
     void start(int i)
     {
         PeerTransport transport;
@@ -60,7 +60,7 @@
         instances[name(self)]->setPeers(peers);
     }
 
-    /** Time passes; what is on the way arrives first. */
+    /** Delivers all frames in transit, then advances the time. */
     void advance(Millis span)
     {
         while (!frames_.empty()) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Asks for all engines; returns what the asker got, by the time that the question ended. */
+    /** Queries all engines; returns the estimates that the querying instance got in time. */
     BookExchange::Offers ask(int i, const PromptChain &chain)
     {
         BookExchange::Offers received;
@@ -115,10 +115,11 @@
 
 } // namespace
 
-TEST_CASE("what one instance sends to an engine is known to all")
+// Guards against placements that ignore what other instances sent.
+TEST_CASE("what one instance sends to an engine is known to all instances")
 {
     Network network(5);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     network.advance(Millis(1));
     for (int i = 0; i < 5; ++i) {
         CAPTURE(i);
@@ -131,13 +132,14 @@
     CHECK_FALSE(entry.isSet());
 }
 
-TEST_CASE("books are spread over all instances, and each is kept by one")
+// Guards against two instances that track the same engine, and against one that tracks all of them.
+TEST_CASE("trackers are spread over all instances, and each engine has one owner")
 {
     Network network(8);
     std::set<PeerAddress> owners;
     for (std::uint64_t engine = 1; engine <= 100; ++engine) {
-        auto entry = network.at(0).enter(chainOf(1, 2), engine, allTokens, speed);
-        auto same = network.at(1).enter(chainOf(3, 4), engine, allTokens, speed);
+        auto entry = network.at(0).enter(chainOf(1, 2), engine, allTokens, rate);
+        auto same = network.at(1).enter(chainOf(3, 4), engine, allTokens, rate);
         const PeerAddress one = entry.owner.empty() ? Network::name(0) : entry.owner;
         const PeerAddress other = same.owner.empty() ? Network::name(1) : same.owner;
         CHECK(one == other);
@@ -146,12 +148,12 @@
     CHECK(owners.size() == 8);
 }
 
-// The keeper of a book dies and stays in the registry for a minute. Requests would wait for it at
-// every placement, or be placed blindly for all that time.
-TEST_CASE("a keeper that leaves questions unanswered is passed over, and its books taken over")
+// Guards against an owner that dies but stays registered for a minute: all that time each placement
+// would wait for it, or go without an estimate.
+TEST_CASE("an owner that does not reply is excluded, and another one takes over its engines")
 {
     Network network(4);
-    const auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    const auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     const int querier = owner == Network::name(1) ? 2 : 1;
     network.dead.insert(owner);
@@ -162,19 +164,20 @@
     const auto estimates = network.ask(querier, chainOf(5, 6));
     CHECK(estimates.size() == std::size(engines));
     CHECK(network.at(querier).stats().unanswered == unanswered);
-    auto next = network.at(querier).enter(chainOf(5, 6), 33, allTokens, speed);
+    auto next = network.at(querier).enter(chainOf(5, 6), 33, allTokens, rate);
     CHECK(next.owner != owner);
-    // Once it answers again, it keeps its books again.
+    // Once it replies again, it owns its engines again.
     network.dead.clear();
     network.advance(OwnerRanking::exclusionPeriod);
     CHECK(network.ask(querier, chainOf(5, 6)).size() == std::size(engines));
-    CHECK(network.at(querier).enter(chainOf(7, 8), 33, allTokens, speed).owner == owner);
+    CHECK(network.at(querier).enter(chainOf(7, 8), 33, allTokens, rate).owner == owner);
 }
 
-TEST_CASE("an instance that starts again keeps its books from nothing")
+// Guards against messages for entries from before a restart that corrupt the new state.
+TEST_CASE("a restarted instance starts its trackers empty")
 {
     Network network(3);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     network.advance(Millis(1));
     for (int i = 0; i < 3; ++i) {
@@ -187,15 +190,15 @@
     REQUIRE(estimates.count(33) == 1);
     CHECK(estimates.at(33).waitMillis == doctest::Approx(0));
     CHECK_FALSE(estimates.at(33).knowsParts);
-    // The end of an entry that the new life never had changes nothing.
+    // The end of an entry that the new incarnation never had changes nothing.
     network.at(0).read(entry);
     network.advance(Millis(1));
     CHECK(network.ask(1, chainOf(1, 9)).at(33).waitMillis == doctest::Approx(0));
 }
 
-// Engines of a system that starts, or that replaces lost ones, have read nothing. Books that began
-// before say so; those that an instance took over later must not.
-TEST_CASE("books know that an engine had read nothing when they began")
+// Guards against trackers that report a new engine's empty cache as unknown, and against trackers
+// taken over later that report a cache as empty although the engine was used before.
+TEST_CASE("a tracker is complete only if the engine was unused when it began")
 {
     Network network(3);
     const Millis start = network.now;
@@ -210,11 +213,11 @@
     const auto before = network.ask(0, chainOf(1, 2));
     for (const EngineKey engine : engines)
         CHECK(before.at(engine).isComplete == (engine != 22));
-    // The instances have been the same since the start.
+    // The instances have not changed since the start.
     CHECK(std::all_of(queriedAt.begin(), queriedAt.end(),
                       [start](Millis at) { return at == start; }));
-    // One keeper is silent: whoever takes its books over has none of what was entered there.
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    // One owner is dead: the instance that takes over its engines lacks what was announced to it.
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     const int querier = owner == Network::name(1) ? 2 : 1;
     network.dead.insert(owner);
@@ -223,20 +226,21 @@
     CHECK_FALSE(network.ask(querier, chainOf(5, 6)).at(33).isComplete);
 }
 
-TEST_CASE("an engine that starts again holds nothing of what was entered")
+// Guards against estimates with cached parts that a restarted engine has lost.
+TEST_CASE("a restarted engine holds none of the parts announced before")
 {
     Network network(1);
     network.at(0).hadReadNothing = [](EngineKey, Millis) { return true; };
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     network.at(0).read(entry);
     CHECK(network.ask(0, chainOf(1, 9)).at(33).freshTokens == doctest::Approx(2000));
     network.at(0).forget(33);
     CHECK(network.ask(0, chainOf(1, 9)).at(33).freshTokens == doctest::Approx(12000));
 }
 
-// Links lose, double and cut messages. Whatever comes of it, each question ends once and in time,
-// and no entry weighs for longer than a reading can last.
-TEST_CASE("under loss and doubling every question ends once and entries fade")
+// Guards against queries that never end or end twice, and against entries that count for longer
+// than a prefill can last, when links drop and duplicate messages.
+TEST_CASE("under loss and duplication every query ends once and entries expire")
 {
     Network network(6);
     network.lossPercent = 30;
@@ -247,7 +251,7 @@
         const int instance = static_cast<int>(random() % 6);
         network.ask(instance, chainOf(random() % 5, random()));
         open.push_back(network.at(instance).enter(chainOf(random() % 5, random()),
-                                                  engines[random() % 6], allTokens, speed));
+                                                  engines[random() % 6], allTokens, rate));
         if (random() % 2 == 0)
             network.at(instance).read(open.back());
     }
@@ -261,7 +265,8 @@
         CHECK(estimate.waitMillis == doctest::Approx(0));
 }
 
-TEST_CASE("answers that were not asked for, late or of another size are left alone")
+// Guards against replies that complete a query with estimates of another one, or complete it twice.
+TEST_CASE("unexpected, late or wrongly sized replies are ignored")
 {
     Network network(2);
     int completions = 0;
@@ -282,10 +287,11 @@
     CHECK(network.at(0).stats().framesRefused == 1);
 }
 
-TEST_CASE("books that nobody uses are dropped")
+// Guards against trackers of lost engines that pile up in memory.
+TEST_CASE("idle trackers are dropped")
 {
     Network network(1);
-    network.at(0).enter(chainOf(1, 2), 33, allTokens, speed);
+    network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
     CHECK(network.at(0).trackerCount() == 1);
     network.advance(BookExchange::trackerIdleTimeout + Millis(1));
     network.advance(Millis(1));
--- a/modules/readingbooks/messages/BookMessages.cpp
+++ b/modules/readingbooks/messages/BookMessages.cpp
@@ -11,10 +11,10 @@
 
 using nlohmann::json;
 
-/** The first element of each frame: format and kind. Another format is refused whole. */
+/** First element of each frame: format and kind. Frames of another format are rejected. */
 enum class Tag : std::uint8_t { Query = 0x11, Reply = 0x12, Start = 0x13, End = 0x14 };
 
-/** Fractions are not needed; rates have two digits after the point. */
+/** Encoded numbers are whole; rates are scaled to keep two decimal places. */
 constexpr std::size_t elementsPerEstimate = 5;
 constexpr double rateUnit = 100;
 constexpr std::uint64_t maxMillis = 1'000'000;
@@ -74,8 +74,8 @@
 {
     return json::array({Tag::Start, start.number, start.engine, start.chain.tokens,
                         chainJson(start.chain), whole(start.freshTokens, maxTokens),
-                        whole(start.speed.tokensPerMilli * rateUnit, maxRate),
-                        whole(start.speed.fixedMillis, maxMillis)});
+                        whole(start.rate.tokensPerMilli * rateUnit, maxRate),
+                        whole(start.rate.fixedMillis, maxMillis)});
 }
 
 json encode(const BookEnd &end)
@@ -122,8 +122,8 @@
     start.engine = message.number();
     start.chain = decodeChain(message);
     start.freshTokens = static_cast<double>(message.number(maxTokens));
-    start.speed.tokensPerMilli = static_cast<double>(message.number(maxRate)) / rateUnit;
-    start.speed.fixedMillis = static_cast<double>(message.number(maxMillis));
+    start.rate.tokensPerMilli = static_cast<double>(message.number(maxRate)) / rateUnit;
+    start.rate.fixedMillis = static_cast<double>(message.number(maxMillis));
     return start;
 }
 
--- a/modules/readingbooks/messages/BookMessages.h
+++ b/modules/readingbooks/messages/BookMessages.h
@@ -11,44 +11,45 @@
 
 namespace cuminrail {
 
-/** Names one life of an engine; instances work it out alike. */
+/** Identifies one incarnation of an engine; all instances compute the same key. */
 using EngineKey = std::uint64_t;
 
-/** Returns the key of an engine's present life: a restart under the same id is another engine. */
+/** Returns the key of an engine's current incarnation: a restart under the same id is another one.
+ */
 inline EngineKey engineKey(const UpstreamRecord &engine)
 {
     const auto startedAt = static_cast<std::uint64_t>(engine.entry.startedAt);
     return StableHash().add(engine.idHash()).add(startedAt).value();
 }
 
-/** "What would this prompt meet at these engines?" */
+/** Requests the estimates for a prompt at some engines. */
 struct PrefillQuery
 {
-    /** The asker's own number, repeated in the answer. */
+    /** Number assigned by the sender of the query, repeated in the reply. */
     std::uint64_t number = 0;
     PromptChain chain;
     std::vector<EngineKey> engines;
 };
 
-/** One offer for each engine of the question, in its order. */
+/** One estimate for each engine of the query, in its order. */
 struct PrefillReply
 {
     std::uint64_t number = 0;
     std::vector<ReadingOffer> estimates;
 };
 
-/** "I am sending this prompt there." */
+/** Announces that a prompt is being sent to an engine. */
 struct PrefillStart
 {
     std::uint64_t number = 0;
     EngineKey engine = 0;
     PromptChain chain;
-    /** What the engine is expected to read of it. */
+    /** Estimated number of tokens that the engine will prefill. */
     double freshTokens = 0;
-    ReadingPace speed;
+    ReadingPace rate;
 };
 
-/** An entry's prompt was read, or is not going to be. */
+/** Announces that a prompt was prefilled, or will not be. */
 struct BookEnd
 {
     std::uint64_t number = 0;
@@ -58,7 +59,7 @@
 
 using PrefillMessage = std::variant<PrefillQuery, PrefillReply, PrefillStart, BookEnd>;
 
-/** Bounds on what a message may hold; a longer prompt is told by its first parts. */
+/** Upper bounds of message fields; of a longer prompt only the first parts are sent. */
 struct PrefillMessageLimits
 {
     static constexpr std::size_t engines = 16;
@@ -67,7 +68,7 @@
 
 /** Encodes a message as a frame for another instance. */
 std::string encodeBookMessage(const PrefillMessage &message);
-/** Returns nothing for what is no message of a known format, whole and within bounds. */
+/** Returns nothing unless the frame is a complete message of a known format within bounds. */
 std::optional<PrefillMessage> decodeBookMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/readingbooks/messages/BookMessages_test.cpp
+++ b/modules/readingbooks/messages/BookMessages_test.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("messages come back as they were sent")
+TEST_CASE("each prefill message decodes to what was encoded")
 {
     const auto query = decoded<PrefillQuery>(PrefillQuery{7, someChain(3), {5, 6}});
     CHECK(query.number == 7);
@@ -55,32 +55,34 @@
     const auto start = decoded<PrefillStart>(PrefillStart{8, 99, someChain(2), 3000, {61.25, 131}});
     CHECK(start.engine == 99);
     CHECK(start.freshTokens == doctest::Approx(3000));
-    CHECK(start.speed.tokensPerMilli == doctest::Approx(61.25));
-    CHECK(start.speed.fixedMillis == doctest::Approx(131));
+    CHECK(start.rate.tokensPerMilli == doctest::Approx(61.25));
+    CHECK(start.rate.fixedMillis == doctest::Approx(131));
     const auto end = decoded<BookEnd>(BookEnd{8, 99, true});
     CHECK(end.wasPrefilled);
 }
 
-TEST_CASE("a prompt of many parts is told by its first ones")
+// Guards against frames that grow with the length of a prompt.
+TEST_CASE("of a prompt with many parts only the first ones are sent")
 {
     const auto start = decoded<PrefillStart>(PrefillStart{8, 99, someChain(200), 3000, {60, 45}});
     CHECK(start.chain.links.size() == PrefillMessageLimits::links);
     CHECK(start.chain.tokens == 17020);
 }
 
-TEST_CASE("what is no message is refused whole")
+// Guards against malformed frames that are accepted in part.
+TEST_CASE("malformed messages are rejected")
 {
     using nlohmann::json;
     const std::pair<const char *, json> rows[] = {
-        {"no array", json("question")},
+        {"not an array", json("question")},
         {"empty", json::array()},
         {"another format", json::array({0x21, 7, 100, json::array(), json::array()})},
         {"a missing element", json::array({0x14, 8, 99})},
         {"one element too many", json::array({0x14, 8, 99, true, 0})},
-        {"a text for a number", json::array({0x14, "8", 99, true})},
+        {"a string instead of a number", json::array({0x14, "8", 99, true})},
         {"a negative number", json::array({0x14, 8, -1, true})},
         {"half a link", json::array({0x13, 8, 99, 100, json::array({5}), 3000, 6000, 45})},
-        {"half an offer", json::array({0x12, 8, json::array({5, 6})})},
+        {"half an estimate", json::array({0x12, 8, json::array({5, 6})})},
     };
     for (const auto &row : rows) {
         CAPTURE(std::string(row.first));
@@ -92,8 +94,9 @@
     CHECK_FALSE(decodeBookMessage(encodeCbor(json::array({0x11, 7, 100, json::array(), many}))));
 }
 
-// A peer of another build, or a frame damaged on the way past all checks, may hold any bytes.
-TEST_CASE("random damage is refused or gives a message within bounds")
+// Guards against arbitrary bytes: from a peer of another build, or from corruption that passed all
+// checksums.
+TEST_CASE("randomly corrupted frames are rejected or decode to a message within bounds")
 {
     const RandomHook random = seededRandom(20);
     for (int round = 0; round < 20000; ++round) {
--- a/modules/readingbooks/readingbooks.h
+++ b/modules/readingbooks/readingbooks.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
-    What instances tell each other of the prompts that engines have still to read.
+    Tracks, over all instances, the prompts that engines have not prefilled yet.
 
-    An instance that sees a ninth of the load cannot tell which engine is free. For each engine one
-    instance keeps a book of the prompts that were sent there by all; whoever is about to place a
-    long prompt asks the keepers of the engines that it considers. Lost, late or doubled messages
-    and keepers that are gone cost accuracy, never a request.
+    An instance that sees a ninth of the load cannot know which engine is idle. For each engine one
+    instance, its owner, tracks the prompts that all instances sent there. An instance that is about
+    to place a long prompt queries the owners of the candidate engines. Lost, late or duplicated
+    messages and failed owners reduce the accuracy of the estimates, but never fail a request.
 
     Depends on core, ports, keepers, membership (bounds and encoding of frames), dataplane.
 */
--- a/modules/upstreamlimits/exchange/LimitExchange.h
+++ b/modules/upstreamlimits/exchange/LimitExchange.h
@@ -34,8 +34,7 @@
 };
 
 /**
-        One instance's part in enforcing the limits that upstreams state, over all instances
-   together.
+    One instance's part in enforcing the limits that upstreams state, over all instances together.
 
     Expected load: an overloaded upstream that accepts one request a second, and hundreds of
     instances that would each send at least one before they receive its limit; and services whose
@@ -46,7 +45,6 @@
     instance that receives a limit reports it to the upstream's owner, which announces it to all.
 
     Not thread-safe: used from one thread. No call blocks.
-
 */
 class LimitExchange
 {
--- a/modules/upstreamlimits/table/LimitTable.h
+++ b/modules/upstreamlimits/table/LimitTable.h
@@ -29,12 +29,11 @@
 };
 
 /**
-        One instance's table of the latest limits that upstreams stated.
+    One instance's table of the latest limits that upstreams stated.
 
     Statements come from responses and from other instances, in any order; the one received from the
     upstream last wins. A limit that no response stated within the retention expires; the next
     response states it again.
-
 */
 class LimitTable
 {
--- a/modules/upstreamlimits/testing/LimitCluster.h
+++ b/modules/upstreamlimits/testing/LimitCluster.h
@@ -15,13 +15,11 @@
 namespace cuminrail::testing {
 
 /**
-        Simulated instances in virtual time that send requests to upstreams, some of which state
-   limits.
+    Simulated instances in virtual time that send requests to upstreams, some of which state limits.
 
     Simulates the gateway's part: a request is sent to any upstream that it may use, or waits for a
     credit, or is refused. Counts all arrivals, including those from instances that do not know of a
     limit yet, although the rule excludes these.
-
 */
 class LimitCluster : public FrameNetwork
 {
--- a/modules/upstreamlimits/upstreamlimits.h
+++ b/modules/upstreamlimits/upstreamlimits.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /**
-        Request rate limits that overloaded upstreams state in their responses, enforced over all
+    Request rate limits that overloaded upstreams state in their responses, enforced over all
     instances together.
 
     Depends on core, ports, membership (bounds and encoding of frames), keepers, quotas.
