--- a/modules/keepers/roster/PeerRoster_test.cpp
+++ b/modules/keepers/roster/PeerRoster_test.cpp
@@ -13,9 +13,9 @@
     const RandomHook random = seededRandom(1);
     CHECK_FALSE(directory.anyLinked(random));
     directory.setPeers({{InstanceId("self"), ""},
-                     {InstanceId("a"), "a:1"},
-                     {InstanceId("b"), "b:1"},
-                     {InstanceId("c"), "c:1"}});
+                        {InstanceId("a"), "a:1"},
+                        {InstanceId("b"), "b:1"},
+                        {InstanceId("c"), "c:1"}});
     CHECK(directory.all().size() == 3);
     directory.isLinked = [](const PeerAddress &peer) { return peer != "b:1"; };
     std::set<PeerAddress> selected;
