--- a/modules/quarantine/book/SuspectBook.h
+++ b/modules/quarantine/book/SuspectBook.h
@@ -13,24 +13,24 @@
 
 namespace cuminrail {
 
-/** Under which upstreams' ends a request ran. */
+/** The upstreams that ended while they ran a request. */
 struct Suspicion
 {
     RequestFingerprint fingerprint;
-    /** Each once, SuspectBook::mostEnds at most. */
+    /** No duplicates, SuspicionTable::maxEnded entries at most. */
     std::vector<UpstreamLife> ended;
-    /** How much longer it is kept. */
-    Millis left;
+    /** Time until the entry expires. */
+    Millis remaining;
 };
 
-/** How far the suspicion against a request goes. */
+/** How strongly a request is suspected of ending upstreams. */
 enum class SuspicionLevel : std::uint8_t {
     None,
-    /** One upstream ended under it, as under all that ran there. */
+    /** One upstream ended under it, as under every request that ran there. */
     Noted,
-    /** Two did: it is not repeated by the system, but still run when a caller asks. */
+    /** Two upstreams ended: the system does not retry it, but runs it when a caller sends it. */
     Suspected,
-    /** Three did: it is not run. */
+    /** Three upstreams ended: it is not run. */
     Quarantined,
 };
 
@@ -42,64 +42,65 @@
 }}};
 
 /**
-    What one instance knows of requests under which upstreams ended.
+    One instance's table of requests under which upstreams ended.
 
-    A request that ran to its end anywhere within the last minute is not suspected: upstreams that
-    fail by themselves take many such requests with them. Bounded; the oldest entries go first.
+    A request that completed anywhere within the last minute is not suspected: an upstream that
+    fails for another reason interrupts many such requests. The table is bounded; the oldest entries
+    are evicted first.
 */
-class SuspectBook
+class SuspicionTable
 {
 public:
-    static constexpr std::size_t suspectedFrom = 2;
-    static constexpr std::size_t quarantinedFrom = 3;
-    /** Ends remembered of one request; more say nothing new. */
-    static constexpr std::size_t mostEnds = quarantinedFrom;
-    /** A request that is still fatal afterwards costs one upstream a day. */
-    static constexpr Millis keptFor = Millis::seconds(24 * 60 * 60);
-    static constexpr Millis provenFor = Millis::seconds(60);
-    static constexpr std::size_t mostNoted = 4096;
-    static constexpr std::size_t mostRaised = 1024;
-    static constexpr std::size_t mostProven = 4096;
+    static constexpr std::size_t suspectedThreshold = 2;
+    static constexpr std::size_t quarantinedThreshold = 3;
+    /** Ended upstreams stored for one request; more would not change its level. */
+    static constexpr std::size_t maxEnded = quarantinedThreshold;
+    /** A request that stays fatal costs one upstream a day after this has expired. */
+    static constexpr Millis retention = Millis::seconds(24 * 60 * 60);
+    static constexpr Millis completionRetention = Millis::seconds(60);
+    static constexpr std::size_t maxNoted = 4096;
+    static constexpr std::size_t maxSuspects = 1024;
+    static constexpr std::size_t maxCompleted = 4096;
 
-    /** Adds what is told of a request. Returns true if its level rose to Suspected or beyond. */
+    /** Merges a suspicion. Returns true if the level of its request rose to Suspected or above. */
     bool add(const Suspicion &suspicion, Millis now);
-    /** The request ran to its end. Returns true if it was suspected and no longer is. */
-    bool prove(const RequestFingerprint &fingerprint, Millis now);
-    bool isProven(const RequestFingerprint &fingerprint, Millis now) const;
+    /** Records that a request completed. Returns true if that cleared a suspicion. */
+    bool recordCompletion(const RequestFingerprint &fingerprint, Millis now);
+    bool hasCompletedRecently(const RequestFingerprint &fingerprint, Millis now) const;
 
     SuspicionLevel level(const RequestFingerprint &fingerprint, Millis now) const;
     std::optional<Suspicion> find(const RequestFingerprint &fingerprint, Millis now) const;
-    /** Returns whether any request is suspected; else nothing needs to be looked up. */
-    bool hasRaised() const { return !raised_.entries.empty(); }
-    std::size_t raisedCount() const { return raised_.entries.size(); }
-    /** Returns the next few that are suspected or quarantined, all of them in turn. */
-    std::vector<Suspicion> nextRaised(std::size_t most, Millis now);
-    /** Drops what is over, and returns those that were quarantined. */
+    /** Returns whether any request is suspected; if none is, callers can skip the lookup. */
+    bool hasSuspects() const { return !suspects_.entries.empty(); }
+    std::size_t raisedCount() const { return suspects_.entries.size(); }
+    /** Returns the next suspected or quarantined requests, in round-robin order over calls. */
+    std::vector<Suspicion> nextSuspects(std::size_t maxCount, Millis now);
+    /** Removes expired entries and returns those that were quarantined. */
     std::vector<RequestFingerprint> expire(Millis now);
 
 private:
     struct Entry
     {
         std::vector<UpstreamLife> ended;
-        Millis until;
+        Millis expiresAt;
     };
-    /** Entries with the order in which they came. */
-    struct Table
+    /** Entries and the order in which they were inserted. */
+    struct BoundedEntries
     {
         std::unordered_map<RequestFingerprint, Entry> entries;
         std::deque<RequestFingerprint> order;
 
-        void put(const RequestFingerprint &fingerprint, Entry entry, std::size_t most);
-        std::optional<Entry> take(const RequestFingerprint &fingerprint);
+        void put(const RequestFingerprint &fingerprint, Entry entry, std::size_t maxEntries);
+        std::optional<Entry> extract(const RequestFingerprint &fingerprint);
     };
 
     static SuspicionLevel levelOf(const Entry &entry);
     const Entry *entry(const RequestFingerprint &fingerprint, Millis now) const;
 
-    Table noted_;
-    Table raised_;
-    std::unordered_map<RequestFingerprint, Millis> proven_;
-    std::deque<RequestFingerprint> provenOrder_;
+    BoundedEntries noted_;
+    BoundedEntries suspects_;
+    std::unordered_map<RequestFingerprint, Millis> completed_;
+    std::deque<RequestFingerprint> completedOrder_;
 };
 
 } // namespace cuminrail
--- a/modules/upstreamlimits/exchange/LimitExchange_test.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange_test.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-/** Callers send for a while, most of them to a few of the instances. */
-void play(LimitCluster &cluster, int perSecond, int seconds)
+/** Sends traffic for a while, more of it to a quarter of the instances. */
+void sendTraffic(LimitCluster &cluster, int perSecond, int seconds)
 {
     for (int i = 0; i < seconds * perSecond; ++i) {
-        const int most = cluster.pick(2) == 0 ? cluster.count() : (cluster.count() + 3) / 4;
-        cluster.request(cluster.pick(most));
-        cluster.pass(Millis(1000 / perSecond));
+        const int instanceCount =
+            cluster.pick(2) == 0 ? cluster.count() : (cluster.count() + 3) / 4;
+        cluster.request(cluster.pick(instanceCount));
+        cluster.advance(Millis(1000 / perSecond));
     }
 }
 
-using Trouble = std::function<void(LimitCluster &)>;
+using Fault = std::function<void(LimitCluster &)>;
 
-void nothing(LimitCluster &)
+void noFault(LimitCluster &)
 { }
 
 void killInTurn(LimitCluster &cluster)
 {
     for (int i = 0; i < cluster.count(); i += 2) {
         cluster.kill(i);
-        play(cluster, 100, 1);
+        sendTraffic(cluster, 100, 1);
         cluster.restart(i);
     }
 }
@@ -35,7 +36,7 @@
 {
     for (int i = 0; i < cluster.count(); ++i)
         cluster.kill(i);
-    cluster.pass(Millis(1000));
+    cluster.advance(Millis(1000));
     for (int i = 0; i < cluster.count(); ++i)
         cluster.restart(i);
 }
@@ -47,15 +48,15 @@
 
 void slowFrames(LimitCluster &cluster)
 {
-    cluster.delayMost = Millis(60);
+    cluster.maxDelay = Millis(60);
 }
 
-void cutOne(LimitCluster &cluster)
+void isolateOne(LimitCluster &cluster)
 {
     cluster.isCut = [](int from, int to) { return from == 0 || to == 0; };
     for (int i = 0; i < 8; ++i) {
         cluster.excuse(0);
-        play(cluster, 100, 1);
+        sendTraffic(cluster, 100, 1);
     }
     cluster.isCut = [](int, int) { return false; };
     cluster.excuse(0);
@@ -65,7 +66,7 @@
 {
     for (int i = 0; i < cluster.count(); i += 3)
         cluster.frozen.insert(i);
-    play(cluster, 100, 2);
+    sendTraffic(cluster, 100, 2);
     for (const int i : cluster.frozen)
         cluster.excuse(i);
     cluster.frozen.clear();
@@ -79,19 +80,20 @@
 
 } // namespace
 
-// Guards against upstreams in need that get the sum of what each instance thinks is within the
-// limit.
-TEST_CASE("all instances together keep what an upstream named, whatever happens to them")
+// Guards against overloaded upstreams that get the sum of what each instance alone considers to be
+// within the limit.
+TEST_CASE("all instances together keep to a stated limit under any fault")
 {
     struct Row
     {
         const char *name;
-        Trouble trouble;
+        Fault fault;
     };
     for (const Row &row :
-         {Row{"nothing", nothing}, Row{"killed in turn", killInTurn}, Row{"all killed", killAll},
-          Row{"frames lost", loseFrames}, Row{"frames slow", slowFrames},
-          Row{"one cut off", cutOne}, Row{"some frozen", freezeSome}}) {
+         {Row{"nothing", noFault}, Row{"instances killed in turn", killInTurn},
+          Row{"all instances killed", killAll}, Row{"frames lost", loseFrames},
+          Row{"frames delayed", slowFrames}, Row{"one instance isolated", isolateOne},
+          Row{"some instances frozen", freezeSome}}) {
         for (const int instances : {1, 6, 40}) {
             for (const double rate : {0.3, 1.0, 8.0}) {
                 for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -100,12 +102,12 @@
                     CAPTURE(rate);
                     CAPTURE(seed);
                     LimitCluster cluster(instances, {rate, rate, {}, {}, {}}, seed);
-                    const Millis named = cluster.now;
-                    play(cluster, 100, 10);
-                    row.trouble(cluster);
-                    play(cluster, 100, 12);
+                    const Millis startedAt = cluster.now;
+                    sendTraffic(cluster, 100, 10);
+                    row.fault(cluster);
+                    sendTraffic(cluster, 100, 12);
                     for (const std::size_t upstream : {0, 1})
-                        CHECK(cluster.busiest(upstream, named + Millis(3000)) <= allowed(rate));
+                        CHECK(cluster.busiest(upstream, startedAt + Millis(3000)) <= allowed(rate));
                     CHECK(cluster.refused == 0);
                 }
             }
@@ -113,17 +115,17 @@
     }
 }
 
-// Guards against callers who are refused although the upstreams of their service have room.
-TEST_CASE("where all upstreams are limited, most of what they take is used, by any instance")
+// Guards against callers who are refused although the upstreams of their service have capacity.
+TEST_CASE("when all upstreams are limited, most of what they accept is used from any instance")
 {
     for (const int instances : {1, 6, 40}) {
         for (const double rate : {1.0, 5.0, 20.0}) {
             CAPTURE(instances);
             CAPTURE(rate);
             LimitCluster cluster(instances, {rate, rate, rate}, 1);
-            play(cluster, 100, 5);
+            sendTraffic(cluster, 100, 5);
             const Millis since = cluster.now;
-            play(cluster, 100, 20);
+            sendTraffic(cluster, 100, 20);
             double used = 0;
             for (const std::size_t upstream : {0, 1, 2}) {
                 used += static_cast<double>(cluster.arrivals(upstream, since));
@@ -135,43 +137,43 @@
     }
 }
 
-// Guards against upstreams that stay half idle after their need is over.
-TEST_CASE("when a limit ends all instances know it soon")
+// Guards against upstreams that stay underused after their overload ends.
+TEST_CASE("all instances learn of the end of a limit within seconds")
 {
     LimitCluster cluster(40, {2.0, {}}, 1);
-    play(cluster, 100, 5);
+    sendTraffic(cluster, 100, 5);
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).hasLimits());
     cluster.setLimit(0, std::nullopt);
-    play(cluster, 100, 3);
+    sendTraffic(cluster, 100, 3);
     for (int i = 0; i < cluster.count(); ++i)
         CHECK_FALSE(cluster.at(i).hasLimits());
     const Millis since = cluster.now;
-    play(cluster, 100, 5);
+    sendTraffic(cluster, 100, 5);
     CHECK(cluster.arrivals(0, since) >= 200);
 }
 
-// Guards against hundreds of instances that each send one request before they hear of a limit.
-TEST_CASE("a limit that one instance hears is known to all before they send there")
+// Guards against hundreds of instances that each send one request before they know of a limit.
+TEST_CASE("a limit received by one instance is announced to all within 50 ms")
 {
     LimitCluster cluster(100, {1.0, {}}, 1);
     cluster.at(3).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).hasLimits());
 }
 
-// Guards against credits that idle instances keep from those that have requests.
-TEST_CASE("a credit that no request uses goes back")
+// Guards against idle instances that hold credits while others have requests.
+TEST_CASE("an unused credit is returned to the owner")
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
         cluster.at(i).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     std::uint64_t returned = 0;
     for (int i = 0; i < 10; ++i) {
         cluster.at(i % 5).askAhead({0});
-        cluster.pass(Millis(1000));
+        cluster.advance(Millis(1000));
     }
     for (int i = 0; i < cluster.count(); ++i)
         returned += cluster.at(i).stats().givenBack;
@@ -179,41 +181,42 @@
     bool isGranted = false;
     for (int i = 0; i < 5 && !isGranted; ++i) {
         cluster.at(5).ask(0, [&](const CreditAnswer &answer) { isGranted = answer.isGranted; });
-        cluster.pass(Millis(100));
+        cluster.advance(Millis(100));
     }
     CHECK(isGranted);
 }
 
-// Guards against requests that wait for ever for a credit of an upstream that needs none any more.
-TEST_CASE("whoever waits for a credit goes on when the limit ends")
+// Guards against requests that wait for ever for a credit of an upstream whose limit ended.
+TEST_CASE("requests waiting for a credit proceed when the limit ends")
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
         cluster.at(i).heard(0, 1.0);
-    cluster.pass(Millis(50));
+    cluster.advance(Millis(50));
     int answered = 0;
     for (int i = 0; i < cluster.count(); ++i) {
         cluster.at(i).ask(0, [&](const CreditAnswer &) { ++answered; });
         cluster.at(i).heard(0, std::nullopt);
     }
-    cluster.pass(Millis(100));
+    cluster.advance(Millis(100));
     CHECK(answered == cluster.count());
 }
 
-// Guards against keepers that do not know of a limit and grant whatever is asked.
-TEST_CASE("a keeper that heard nothing of a limit grants no more than that")
+// Guards against owners that do not know of a limit and grant every query.
+TEST_CASE("an owner that did not receive a limit learns it with the query and keeps to it")
 {
     LimitCluster cluster(6, {{}, {}, {}, {}, {}, {}}, 1);
-    for (UpstreamLife life = 0; life < 6; ++life) {
-        CAPTURE(life);
-        cluster.at(0).received("i-1", encodeLimitMessage(LimitNotice{false, {{life, 1.0, {}}}}));
+    for (UpstreamLife incarnation = 0; incarnation < 6; ++incarnation) {
+        CAPTURE(incarnation);
+        cluster.at(0).received(
+            "i-1", encodeLimitMessage(LimitAnnouncement{false, {{incarnation, 1.0, {}}}}));
         int granted = 0;
         for (int i = 0; i < 20; ++i) {
-            cluster.at(0).ask(life, [&](const CreditAnswer &answer) {
+            cluster.at(0).ask(incarnation, [&](const CreditAnswer &answer) {
                 granted += answer.isGranted ? 1 : 0;
-                cluster.at(0).use(life);
+                cluster.at(0).use(incarnation);
             });
-            cluster.pass(Millis(10));
+            cluster.advance(Millis(10));
         }
         CHECK(granted <= 5);
     }
--- a/modules/upstreamlimits/table/LimitTable_test.cpp
+++ b/modules/upstreamlimits/table/LimitTable_test.cpp
@@ -4,13 +4,13 @@
 
 using namespace cuminrail;
 
-// Guards against a limit's end that a later told, older statement undoes, and the reverse.
-TEST_CASE("the statement that was heard last holds, in whatever order they come")
+// Guards against an older statement that arrives late and undoes the end of a limit, or a limit.
+TEST_CASE("the statement received from the upstream last wins, in whatever order they arrive")
 {
     struct Row
     {
         std::optional<double> perSecond;
-        int heardAt;
+        int receivedAt;
         LimitChange change;
         std::optional<double> after;
     };
@@ -23,31 +23,31 @@
           Row{1.0, 45, LimitChange::None, std::nullopt},
           Row{std::nullopt, 60, LimitChange::Slight, std::nullopt},
           Row{0.0, 70, LimitChange::Marked, 0.0}}) {
-        CAPTURE(row.heardAt);
-        CHECK(table.take({7, row.perSecond, Millis(row.heardAt)}) == row.change);
+        CAPTURE(row.receivedAt);
+        CHECK(table.update({7, row.perSecond, Millis(row.receivedAt)}) == row.change);
         CHECK(table.limit(7) == row.after);
         CHECK(table.hasLimits() == row.after.has_value());
     }
 }
 
-// Guards against an upstream that nobody uses any more because its limit's end was never heard.
-TEST_CASE("a limit that nobody heard for a while is forgotten")
+// Guards against an upstream that stays unused because the end of its limit was missed.
+TEST_CASE("a limit that is not stated again expires")
 {
     LimitTable table;
-    table.take({7, 1.0, Millis(0)});
-    table.take({8, 1.0, Millis(500)});
-    CHECK_FALSE(table.expire(LimitTable::keptFor - Millis(1)));
-    CHECK(table.expire(LimitTable::keptFor));
+    table.update({7, 1.0, Millis(0)});
+    table.update({8, 1.0, Millis(500)});
+    CHECK_FALSE(table.expire(LimitTable::retention - Millis(1)));
+    CHECK(table.expire(LimitTable::retention));
     CHECK_FALSE(table.limit(7));
     CHECK(table.limit(8) == 1.0);
     CHECK(table.limited() == 1);
     CHECK(table.all().size() == 1);
 }
 
-TEST_CASE("no more upstreams are remembered than there may be")
+TEST_CASE("the table holds no more than maxEntries upstreams")
 {
     LimitTable table;
-    for (UpstreamLife life = 0; life < LimitTable::mostEntries + 10; ++life)
-        table.take({life, 1.0, Millis(0)});
-    CHECK(table.limited() == LimitTable::mostEntries);
+    for (UpstreamLife incarnation = 0; incarnation < LimitTable::maxEntries + 10; ++incarnation)
+        table.update({incarnation, 1.0, Millis(0)});
+    CHECK(table.limited() == LimitTable::maxEntries);
 }
