--- a/modules/configsync/ConfigSync.cpp
+++ b/modules/configsync/ConfigSync.cpp
@@ -54,7 +54,7 @@
       watcher_(config.watcher,
                watcherHooks(
                    hooks_, [this](const std::string &text) { onStoreHead(text); },
-                   [this](Millis askedAt) { onStoreConfirmed(askedAt); })),
+                   [this](Millis querySentAt) { onStoreConfirmed(querySentAt); })),
       fetcher_(config.fetcher, fetcherHooks(hooks_, [this] { putInForceIfComplete(); }),
                membership.self().address, contents_),
       headFetcher_(
@@ -137,12 +137,12 @@
 {
     const Millis now = hooks_.clock.now();
     const std::uint64_t theirs = digest.settings.headVersion;
-    if (digest.askedAt) {
+    if (digest.querySentAt) {
         hasPeerAnswered_ = true;
         newestAtPeers_ = std::max(newestAtPeers_, theirs);
     }
-    if (theirs != 0 && theirs <= inForce_.generation && digest.askedAt)
-        freshness_.confirmByPeer(*digest.askedAt, digest.settings.confirmedAge);
+    if (theirs != 0 && theirs <= inForce_.generation && digest.querySentAt)
+        freshness_.confirmByPeer(*digest.querySentAt, digest.settings.confirmedAge);
     if (candidate_ && theirs >= candidate_->generation)
         fetcher_.addSource(digest.address);
     const std::uint64_t known = candidate_ ? candidate_->generation : inForce_.generation;
@@ -188,12 +188,12 @@
 
 // An answer "nothing newer" is about what the store showed last, which may still be on its way
 // here, or be older than what is in force when the store's answer lags.
-void ConfigSync::onStoreConfirmed(Millis askedAt)
+void ConfigSync::onStoreConfirmed(Millis querySentAt)
 {
     const bool isInForce = storeGeneration_ == inForce_.generation;
     const bool isRefused = storeGeneration_ != 0 && storeGeneration_ == refusedGeneration_;
     if (isInForce || isRefused)
-        freshness_.confirmByStore(askedAt);
+        freshness_.confirmByStore(querySentAt);
 }
 
 void ConfigSync::considerHead(const std::string &text, const std::optional<PeerAddress> &source)
@@ -284,7 +284,7 @@
     hooks_.onSettings(settings_);
     if (before != nullptr)
         announceWithdrawals(*before, *settings_);
-    membership_.forgetFacts([&](const UrgentFact &fact) {
+    membership_.removeFacts([&](const UrgentFact &fact) {
         return fact.kind == UrgentFactKind::KeyWithdrawn
             && fact.number + kGenerationsToKeepFacts <= head.generation;
     });
--- a/modules/configsync/ConfigSync.h
+++ b/modules/configsync/ConfigSync.h
@@ -95,7 +95,7 @@
     void reportFreshness(Millis now);
 
     void onStoreHead(const std::string &text);
-    void onStoreConfirmed(Millis askedAt);
+    void onStoreConfirmed(Millis querySentAt);
     void considerHead(const std::string &text, const std::optional<PeerAddress> &source);
     bool mayFollow(const SettingsHead &head);
     void putInForceIfComplete();
--- a/modules/configsync/ConfigSync_test.cpp
+++ b/modules/configsync/ConfigSync_test.cpp
@@ -295,7 +295,7 @@
                                    replaced += event.kind == &events::watchReplaced ? 1 : 0;
                                },
                                [this](const std::string &text) { newest = text; },
-                               [this](Millis askedAt) { confirmedAt = askedAt; }};
+                               [this](Millis querySentAt) { confirmedAt = querySentAt; }};
         hooks.store.get = [this](const std::string &, const StoreCompletion &done) {
             scheduler.after(Millis(2), [done] { done(replyWith("first", 5)); });
         };
--- a/modules/configsync/content/ContentFetcher.cpp
+++ b/modules/configsync/content/ContentFetcher.cpp
@@ -49,7 +49,7 @@
     for (auto &entry : wanted_) {
         Transfer &transfer = entry.second;
         const Millis timeout = transfer.fromStore ? kStoreTimeout : config_.timeout;
-        if (transfer.isAsked && now >= transfer.askedAt + timeout)
+        if (transfer.isAsked && now >= transfer.querySentAt + timeout)
             failed(transfer);
     }
     askNext();
@@ -75,7 +75,7 @@
 void ContentFetcher::ask(const std::string &hash, Transfer &transfer)
 {
     transfer.isAsked = true;
-    transfer.askedAt = hooks_.clock.now();
+    transfer.querySentAt = hooks_.clock.now();
     transfer.text.clear();
     // Every so often the store is asked even with sources left: they may all be gone.
     const bool isStoresTurn =
@@ -92,7 +92,7 @@
 
 void ContentFetcher::askPeer(const std::string &hash, Transfer &transfer)
 {
-    transfer.askedAt = hooks_.clock.now();
+    transfer.querySentAt = hooks_.clock.now();
     hooks_.transport.send(transfer.peer,
                           encodeConfig(ContentRequestMessage{self_, hash, transfer.text.size()}));
 }
--- a/modules/configsync/content/ContentFetcher.h
+++ b/modules/configsync/content/ContentFetcher.h
@@ -78,7 +78,7 @@
         std::string text;
         std::uint64_t call = 0;
         std::uint32_t failures = 0;
-        Millis askedAt;
+        Millis querySentAt;
         Millis nextAt;
     };
 
--- a/modules/configsync/freshness/Freshness.cpp
+++ b/modules/configsync/freshness/Freshness.cpp
@@ -19,16 +19,16 @@
 
 } // namespace
 
-void Freshness::confirmByStore(Millis askedAt)
+void Freshness::confirmByStore(Millis querySentAt)
 {
-    moveForward(storeAt_, askedAt);
+    moveForward(storeAt_, querySentAt);
 }
 
-void Freshness::confirmByPeer(Millis askedAt, Millis peersStoreAge)
+void Freshness::confirmByPeer(Millis querySentAt, Millis peersStoreAge)
 {
-    moveForward(peersAt_, askedAt);
+    moveForward(peersAt_, querySentAt);
     if (peersStoreAge < Millis::never())
-        moveForward(storeAt_, askedAt - peersStoreAge);
+        moveForward(storeAt_, querySentAt - peersStoreAge);
 }
 
 Millis Freshness::storeAge(Millis now) const
@@ -40,14 +40,14 @@
 // who does would honour it for as long as it is cut off; so from the limit on it refuses. When the
 // store is out for everybody nothing can be withdrawn, and refusing would stop all service for an
 // hour: then it is enough that a majority of the instances agree that they know nothing newer.
-FreshnessReport Freshness::report(Millis now, const PeerReach &reach) const
+FreshnessReport Freshness::report(Millis now, const PeerReachability &reachability) const
 {
     FreshnessReport report;
     report.storeAge = ageOf(storeAt_, now);
     report.peersAge = ageOf(peersAt_, now);
     if (report.storeAge <= limit_)
         report.confirmedBy = ConfirmedBy::Store;
-    else if (report.peersAge <= limit_ && reach.isMajority())
+    else if (report.peersAge <= limit_ && reachability.isMajority())
         report.confirmedBy = ConfirmedBy::Peers;
     report.mayServe =
         report.confirmedBy != ConfirmedBy::Nobody || !guardEnabled(Guard::StaleRefused);
--- a/modules/configsync/freshness/Freshness.h
+++ b/modules/configsync/freshness/Freshness.h
@@ -48,13 +48,13 @@
     explicit Freshness(Millis limit) : limit_(limit) { }
 
     /** The store had nothing newer than is in force here, at some time after this instant. */
-    void confirmByStore(Millis askedAt);
+    void confirmByStore(Millis querySentAt);
     /** A peer that has nothing newer in force either answered a question of this instant. */
-    void confirmByPeer(Millis askedAt, Millis peersStoreAge);
+    void confirmByPeer(Millis querySentAt, Millis peersStoreAge);
 
     /** Returns the span since the store's confirmation, never() if there is none. */
     Millis storeAge(Millis now) const;
-    FreshnessReport report(Millis now, const PeerReach &reach) const;
+    FreshnessReport report(Millis now, const PeerReachability &reachability) const;
 
 private:
     Millis limit_;
--- a/modules/configsync/store/HeadWatcher.cpp
+++ b/modules/configsync/store/HeadWatcher.cpp
@@ -70,7 +70,7 @@
     nextAt_ = reply.status == StoreStatus::NotFound ? now + config_.firstRetry : now;
 }
 
-void HeadWatcher::take(const StoreReply &reply, Millis askedAt)
+void HeadWatcher::take(const StoreReply &reply, Millis querySentAt)
 {
     if (reply.status != StoreStatus::Ok)
         return;
@@ -79,7 +79,7 @@
         if (object.path == kSettingsHeadPath && !object.removed)
             hooks_.onHead(object.value);
     }
-    hooks_.onConfirmed(askedAt);
+    hooks_.onConfirmed(querySentAt);
 }
 
 void HeadWatcher::retryLater(Millis now)
--- a/modules/configsync/store/HeadWatcher.h
+++ b/modules/configsync/store/HeadWatcher.h
@@ -31,7 +31,7 @@
     /** The store has this head. */
     std::function<void(const std::string &headText)> onHead;
     /** The store had nothing newer than the last head at some time after this instant. */
-    std::function<void(Millis askedAt)> onConfirmed;
+    std::function<void(Millis querySentAt)> onConfirmed;
 };
 
 /**
@@ -59,7 +59,7 @@
 private:
     void ask(Millis now);
     void finished(const StoreReply &reply);
-    void take(const StoreReply &reply, Millis askedAt);
+    void take(const StoreReply &reply, Millis querySentAt);
     void retryLater(Millis now);
 
     HeadWatcherConfig config_;
--- a/modules/membership/Membership.cpp
+++ b/modules/membership/Membership.cpp
@@ -19,7 +19,7 @@
     return result;
 }
 
-/** Returns a span of the given length, moved by up to a quarter either way. */
+/** Returns the duration with up to 25 % of random jitter in either direction. */
 Millis jittered(Millis span, const RandomHook &random)
 {
     const std::int64_t half = std::max<std::int64_t>(span.count() / 2, 1);
@@ -32,60 +32,61 @@
 Membership::Membership(MembershipConfig config, MemberRecord self, MembershipHooks hooks)
     : config_(config), self_(std::move(self)), hooks_(std::move(hooks)),
       probes_(config.probeTimeout, config.indirectTimeout),
-      silenceBound_(config.silentShare, config.silentWindow)
+      deadDeclarationLimit_(config.maxUnresponsiveShare, config.unresponsiveWindow)
 { }
 
 void Membership::setListed(const std::vector<ListedInstance> &listed)
 {
-    listed_.clear();
+    listedAddresses_.clear();
     for (const ListedInstance &instance : listed) {
         if (instance.isOwn)
-            listed_.push_back(instance.address);
+            listedAddresses_.push_back(instance.address);
     }
 }
 
 void Membership::tick(Millis now)
 {
-    noticeOwnPause(now);
+    detectOwnPause(now);
     lastTick_ = now;
-    followUpProbes(now);
-    settleSuspicions(now);
+    handleOverdueProbes(now);
+    resolveSuspicions(now);
     if (now >= nextProbeAt_) {
         nextProbeAt_ = now + jittered(config_.probePeriod, hooks_.random);
         probeNext(now);
     }
     if (now >= nextContactAt_) {
-        const bool isAlone = table_.livingCount() == 0;
-        const Millis period = isAlone ? config_.firstContactPeriod : config_.contactPeriod;
+        const bool hasNoPeers = table_.livingCount() == 0;
+        const Millis period = hasNoPeers ? config_.firstContactInterval : config_.contactInterval;
         nextContactAt_ = now + jittered(period, hooks_.random);
-        contactOthers(now);
-        table_.forgetDead(now, config_.deadRetention);
+        contactUnknownInstance(now);
+        table_.removeDead(now, config_.deadRetention);
     }
 }
 
-// A process that was paused finds all its probes overdue and all suspicions expired, though
-// nobody but itself was silent. Believing that, it would declare healthy instances dead.
-void Membership::noticeOwnPause(Millis now)
+// After a pause of this process (a suspended machine, for instance) all its probes are overdue and
+// all suspicions have timed out, although no other member was unresponsive. Without this check it
+// would declare healthy instances dead.
+void Membership::detectOwnPause(Millis now)
 {
     if (!lastTick_ || !guardEnabled(Guard::PauseNoticed))
         return;
     const Millis gap = now - *lastTick_;
-    if (gap <= config_.ownPause)
+    if (gap <= config_.maxTickGap)
         return;
     probes_.clear();
     for (const InstanceId &id : table_.suspects())
-        table_.find(id)->suspectSince += gap;
+        table_.find(id)->suspectedAt += gap;
     hooks_.events(Event{&events::ownPauseNoticed, {{"gap_ms", std::to_string(gap.count())}}});
 }
 
 void Membership::probeNext(Millis now)
 {
     const auto &neighbours = ring().neighbours();
-    const bool isAnySilent =
+    const bool isAnyUnresponsive =
         std::any_of(neighbours.begin(), neighbours.end(), [this](const InstanceId &neighbour) {
-            return !probes_.lastAnswer(neighbour).value_or(true);
+            return !probes_.lastProbeSucceeded(neighbour).value_or(true);
         });
-    if (isAnySilent && hooks_.random() % 2 == 0 && probeDistant(now))
+    if (isAnyUnresponsive && hooks_.random() % 2 == 0 && probeRandomMember(now))
         return;
     for (std::size_t tried = 0; tried < neighbours.size(); ++tried) {
         const InstanceId target = neighbours[nextNeighbour_++ % neighbours.size()];
@@ -96,9 +97,10 @@
     }
 }
 
-// An instance that is cut off hears nothing of members that it does not probe itself, and would
-// go on taking them for alive. So a silence among the neighbours makes it look at others too.
-bool Membership::probeDistant(Millis now)
+// An isolated instance receives no state of members that it does not probe itself, and would go on
+// treating them as alive. When a neighbour does not respond, every second probe on average
+// therefore goes to a random member.
+bool Membership::probeRandomMember(Millis now)
 {
     std::vector<InstanceId> candidates;
     for (const auto &item : table_.entries()) {
@@ -119,38 +121,38 @@
     PingMessage ping;
     ping.sequence = probes_.begin(member, now);
     ping.sender = sender(now);
-    ping.gossip = takeNews();
-    // A suspected member must hear of it, or it could not refute.
+    ping.gossip = takeUpdates();
+    // A suspected member has to learn of the suspicion to be able to refute it.
     if (entry->record.status != MemberStatus::Alive)
         ping.gossip.members.push_back(entry->record);
     send(entry->record.address, ping);
 }
 
-void Membership::followUpProbes(Millis now)
+void Membership::handleOverdueProbes(Millis now)
 {
     const OverdueProbes overdue = probes_.overdue(now);
     for (const std::uint64_t sequence : overdue.toConfirm)
-        askOthers(now, sequence);
-    for (const InstanceId &id : overdue.silent)
+        requestIndirectProbes(now, sequence);
+    for (const InstanceId &id : overdue.unanswered)
         suspect(now, id);
 }
 
-void Membership::askOthers(Millis now, std::uint64_t sequence)
+void Membership::requestIndirectProbes(Millis now, std::uint64_t sequence)
 {
     const OutstandingProbe *probe = probes_.find(sequence);
     const MemberEntry *target = table_.find(probe->target);
     if (target == nullptr || target->record.status != MemberStatus::Alive)
         return;
-    std::vector<InstanceId> helpers;
+    std::vector<InstanceId> indirectProbers;
     for (const auto &item : table_.entries()) {
         const bool answers = item.second.record.status == MemberStatus::Alive;
         if (answers && item.first != probe->target)
-            helpers.push_back(item.first);
+            indirectProbers.push_back(item.first);
     }
-    for (std::uint32_t i = 0; i < config_.helpers && !helpers.empty(); ++i) {
-        const std::size_t pick = hooks_.random() % helpers.size();
-        sendTo(helpers[pick], PingRequestMessage{sender(now), sequence, probe->target});
-        helpers.erase(helpers.begin() + static_cast<std::ptrdiff_t>(pick));
+    for (std::uint32_t i = 0; i < config_.indirectProbers && !indirectProbers.empty(); ++i) {
+        const std::size_t pick = hooks_.random() % indirectProbers.size();
+        sendTo(indirectProbers[pick], PingRequestMessage{sender(now), sequence, probe->target});
+        indirectProbers.erase(indirectProbers.begin() + static_cast<std::ptrdiff_t>(pick));
     }
 }
 
@@ -161,24 +163,26 @@
         return;
     MemberRecord claim = entry->record;
     claim.status = MemberStatus::Suspect;
-    takeRecord(now, claim);
+    mergeRecord(now, claim);
 }
 
-void Membership::settleSuspicions(Millis now)
+void Membership::resolveSuspicions(Millis now)
 {
-    const Millis timeout = config_.suspicionBase + config_.suspicionStep * doublings();
+    const Millis timeout =
+        config_.suspicionTimeoutBase + config_.suspicionTimeoutStep * memberCountDoublings();
     for (const InstanceId &id : table_.suspects()) {
         MemberEntry &entry = *table_.find(id);
         const MemberRecord &record = entry.record;
-        if (!record.leaving && now < entry.suspectSince + timeout)
+        if (!record.leaving && now < entry.suspectedAt + timeout)
             continue;
-        // Who announced its stop is not missed: its silence is the end of it.
-        const bool mayDeclare =
-            record.leaving || silenceBound_.mayDeclareDead(table_, self_, record.region, now);
+        // A member that announced its planned stop is expected to become unresponsive, so it is
+        // declared dead without waiting for the suspicion timeout.
+        const bool mayDeclare = record.leaving
+            || deadDeclarationLimit_.mayDeclareDead(table_, self_, record.region, now);
         if (mayDeclare)
             declareDead(now, entry);
         else
-            keepUnreachable(entry);
+            markUnreachable(entry);
     }
 }
 
@@ -187,21 +191,21 @@
     MemberRecord claim = entry.record;
     claim.status = MemberStatus::Dead;
     ++stats_.declaredDead;
-    panicRegions_.erase(claim.region);
-    takeRecord(now, claim);
+    regionsOverLimit_.erase(claim.region);
+    mergeRecord(now, claim);
 }
 
-void Membership::keepUnreachable(MemberEntry &entry)
+void Membership::markUnreachable(MemberEntry &entry)
 {
     if (entry.unreachable)
         return;
     entry.unreachable = true;
-    if (panicRegions_.insert(entry.record.region).second)
-        report(events::tooManySilent, entry.record);
+    if (regionsOverLimit_.insert(entry.record.region).second)
+        emitEvent(events::tooManySilent, entry.record);
     membersChanged();
 }
 
-void Membership::contactOthers(Millis now)
+void Membership::contactUnknownInstance(Millis now)
 {
     const auto addresses = contactAddresses();
     if (addresses.empty())
@@ -212,10 +216,11 @@
 std::vector<PeerAddress> Membership::contactAddresses() const
 {
     std::set<PeerAddress> candidates(seeds_.begin(), seeds_.end());
-    candidates.insert(listed_.begin(), listed_.end());
+    candidates.insert(listedAddresses_.begin(), listedAddresses_.end());
     for (const auto &item : table_.entries()) {
         const MemberRecord &record = item.second.record;
-        // A member declared dead by mistake, or after a cut, is found again this way.
+        // Dead members stay contact addresses, so that a member declared dead by mistake or during
+        // a network partition is rediscovered.
         if (record.status == MemberStatus::Dead && !record.leaving)
             candidates.insert(record.address);
     }
@@ -227,12 +232,12 @@
     return {candidates.begin(), candidates.end()};
 }
 
-void Membership::forwardAtOnce(Millis now, const Gossip &news, const InstanceId &except)
+void Membership::sendUrgent(Millis now, const Gossip &updates, const InstanceId &except)
 {
     std::set<InstanceId> targets(ring().neighbours().begin(), ring().neighbours().end());
-    targets.insert(ring_.watchers().begin(), ring_.watchers().end());
+    targets.insert(ring_.reverseNeighbours().begin(), ring_.reverseNeighbours().end());
     targets.erase(except);
-    const UrgentMessage message{sender(now), news};
+    const UrgentMessage message{sender(now), updates};
     for (const InstanceId &target : targets) {
         const MemberEntry *entry = table_.find(target);
         if (entry != nullptr && !entry->unreachable)
@@ -247,7 +252,7 @@
     self_.leaving = true;
     tableHash_.reset();
     updates_.add(self_);
-    forwardAtOnce(now, Gossip{{self_}, {}}, self_.id);
+    sendUrgent(now, Gossip{{self_}, {}}, self_.id);
 }
 
 void Membership::broadcast(Millis now, const UrgentFact &fact)
@@ -255,12 +260,12 @@
     if (!facts_.add(fact))
         return;
     updates_.add(fact);
-    forwardAtOnce(now, Gossip{{}, {fact}}, self_.id);
+    sendUrgent(now, Gossip{{}, {fact}}, self_.id);
 }
 
 void Membership::announceDigest(Millis now)
 {
-    forwardAtOnce(now, Gossip(), self_.id);
+    sendUrgent(now, Gossip(), self_.id);
 }
 
 std::vector<MemberView> Membership::members() const
@@ -282,9 +287,9 @@
     return MemberView{entry->record, entry->unreachable, entry->settings};
 }
 
-PeerReach Membership::reach() const
+PeerReachability Membership::reach() const
 {
-    PeerReach reach;
+    PeerReachability reach;
     for (const auto &item : table_.entries()) {
         const MemberRecord &record = item.second.record;
         if (record.status == MemberStatus::Dead || record.leaving)
@@ -294,7 +299,7 @@
             ++reach.alive;
     }
     for (const InstanceId &neighbour : ring_.neighbours()) {
-        const auto answer = probes_.lastAnswer(neighbour);
+        const auto answer = probes_.lastProbeSucceeded(neighbour);
         if (!answer)
             continue;
         ++reach.probed;
@@ -306,7 +311,7 @@
 
 void Membership::membersChanged()
 {
-    ringIsOld_ = true;
+    ringIsStale_ = true;
     tableHash_.reset();
     if (hooks_.onMembersChanged)
         hooks_.onMembersChanged();
@@ -324,12 +329,12 @@
     return MessageSender{self_, hooks_.settingsDigest(now), tableHash(), facts_.hash()};
 }
 
-Gossip Membership::takeNews()
+Gossip Membership::takeUpdates()
 {
-    return updates_.take(config_.gossipBytes, doublings() + config_.extraSends);
+    return updates_.take(config_.maxGossipBytes, memberCountDoublings() + config_.extraSends);
 }
 
-std::uint32_t Membership::doublings() const
+std::uint32_t Membership::memberCountDoublings() const
 {
     return ceilLog2(table_.livingCount() + 1);
 }
@@ -341,7 +346,7 @@
     SyncRequestMessage request;
     request.sender = sender(now);
     request.wantsFacts = wantsFacts;
-    request.lines = summarize(table_, self_);
+    request.entries = summarize(table_, self_);
     send(to, request);
 }
 
@@ -361,15 +366,15 @@
 
 const NeighbourRing &Membership::ring()
 {
-    if (ringIsOld_) {
+    if (ringIsStale_) {
         ring_.rebuild(self_.id, table_.livingIds());
         probes_.retainResults(ring_.neighbours());
-        ringIsOld_ = false;
+        ringIsStale_ = false;
     }
     return ring_;
 }
 
-void Membership::report(const EventKind &kind, const MemberRecord &about)
+void Membership::emitEvent(const EventKind &kind, const MemberRecord &about)
 {
     hooks_.events(Event{&kind,
                         {{"peer", about.id.text()},
--- a/modules/membership/Membership.h
+++ b/modules/membership/Membership.h
@@ -3,7 +3,7 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Millis.h"
-#include "membership/detector/ProbeLedger.h"
+#include "membership/detector/ProbeTracker.h"
 #include "membership/detector/SilenceBound.h"
 #include "membership/facts/FactStore.h"
 #include "membership/gossip/UpdateQueue.h"
@@ -22,86 +22,94 @@
 
 namespace cuminrail {
 
-/** Spans and bounds; the defaults are those that docs/MEMBERSHIP.md gives figures for. */
+/** Tunables of the protocol. docs/MEMBERSHIP.md gives figures for the defaults. */
 struct MembershipConfig
 {
     Millis probePeriod{500};
-    /** How long a probe may go unanswered before others are asked. */
+    /** Time without an ack after which other members are asked to probe the target. */
     Millis probeTimeout{500};
-    /** How long the others may take. */
+    /** Additional time allowed for an ack through those members. */
     Millis indirectTimeout{500};
-    std::uint32_t helpers = 3;
+    std::uint32_t indirectProbers = 3;
     /**
-        How long a suspected member has to refute: the base, and once the step for each doubling
-        of the number of members, since its answer takes that many rounds to reach everybody.
+        Suspicion timeout, within which a suspected member may refute: the base, plus one step for
+        each doubling of the number of members, because the refutation takes that many gossip rounds
+        to reach all of them.
     */
-    Millis suspicionBase{2000};
-    Millis suspicionStep{600};
-    /** At most one comparison of whole tables in this span. */
+    Millis suspicionTimeoutBase{2000};
+    Millis suspicionTimeoutStep{600};
+    /** Minimum interval between two comparisons of whole tables. */
     Millis syncPeriod{5000};
-    /** Tables that differ for longer than this are compared. */
-    Millis syncPatience{2000};
-    /** How often an address that is not known as a member is tried. */
-    Millis contactPeriod{5000};
-    Millis firstContactPeriod{500};
+    /** How long a peer's table hash has to differ before the tables are compared. */
+    Millis syncDelay{2000};
+    /** Interval between attempts to reach an address that does not belong to a known member. */
+    Millis contactInterval{5000};
+    Millis firstContactInterval{500};
     Millis deadRetention = Millis::minutes(60);
-    /** @see SilenceBound */
-    double silentShare = 0.4;
-    Millis silentWindow = Millis::seconds(60);
-    /** Bytes of news that ride along with one message. */
-    std::size_t gossipBytes = 1024;
-    /** One piece of news is sent as often as the members double from one, and this often more. */
+    /** @see DeadDeclarationLimit */
+    double maxUnresponsiveShare = 0.4;
+    Millis unresponsiveWindow = Millis::seconds(60);
+    /** Maximum size of the gossip piggybacked on one message. */
+    std::size_t maxGossipBytes = 1024;
+    /**
+        Each update is sent once per doubling of the number of members from one, plus this number of
+        times.
+    */
     std::uint32_t extraSends = 3;
-    /** How many refutations of others are passed on at once in a second. */
-    std::uint32_t refutationsPerSecond = 4;
-    /** A longer gap between two ticks is a pause of this process. */
-    Millis ownPause{1500};
+    /** Maximum number of other members' refutations that are forwarded immediately per second. */
+    std::uint32_t maxRefutationsPerSecond = 4;
+    /** A longer gap between two ticks counts as a pause of this process. */
+    Millis maxTickGap{1500};
 };
 
-/** What a peer said of its settings, with the proof of how recent that is. */
+/** The settings digest received from a peer, with evidence of how recent it is. */
 struct PeerDigest
 {
     InstanceId peer;
     PeerAddress address;
     SettingsDigest settings;
     /**
-        When the question was sent that this answers, by this instance's clock; nothing for a
-        message that answers none. The peer spoke after that instant, so its confirmedAge counted
-        back from there is never too young, however long the answer took.
+        When the query was sent that this digest replies to, by this instance's clock; nothing if
+        the message is not a reply. The peer replied after that instant, so counting its
+        confirmedAge back from there never yields too recent a confirmation, however long the reply
+        took.
     */
-    std::optional<Millis> askedAt;
+    std::optional<Millis> querySentAt;
 };
 
-/** How much of the rest answers, for judging whether this instance is the one cut off. */
-struct PeerReach
+/** How many other instances respond; used to decide whether this instance is the isolated one. */
+struct PeerReachability
 {
-    /** Members that are not leaving, this one included. */
+    /** Members that are not leaving, including this one. */
     std::size_t known = 1;
-    /** Of those, the ones that are not silent, this one included. */
+    /** Those of them that are alive, including this one. */
     std::size_t alive = 1;
-    /** Neighbours whose last probe is over, and how many of those answered. */
+    /** Neighbours with a completed probe, and how many of these responded to the last one. */
     std::size_t probed = 0;
     std::size_t answered = 0;
 
-    /** Returns true when strictly more than half of all members seem reachable. */
+    /**
+        Returns true if strictly more than half of all members, and of the probed neighbours,
+        respond.
+    */
     bool isMajority() const { return alive * 2 > known && (probed == 0 || answered * 2 > probed); }
 };
 
-/** What a membership asks and tells. None may be null, but for the last three. */
+/** Callbacks and ports of a Membership. All are required except the last three. */
 struct MembershipHooks
 {
     PeerTransport transport;
     RandomHook random;
     EventSink events;
     std::function<SettingsDigest(Millis now)> settingsDigest;
-    /** A fact that is news here. */
+    /** An urgent fact was received that was not known here. */
     std::function<void(const UrgentFact &)> onFact;
     std::function<void(const PeerDigest &)> onPeerDigest;
-    /** A member appeared, left, fell silent or came back. */
+    /** A member joined, left, became unresponsive or recovered. */
     std::function<void()> onMembersChanged;
 };
 
-/** Counters since the start, for metrics and tests. */
+/** Counters since the start of the process, for metrics and tests. */
 struct MembershipStats
 {
     std::uint64_t framesSent = 0;
@@ -113,10 +121,10 @@
 };
 
 /**
-    One instance's part in the membership: a state machine in virtual time.
+    The membership protocol of one instance: a state machine driven by the caller's clock.
 
-    Runs on the control thread: tick() every 100 ms or so, receive() for each frame. It sends
-    through the transport and calls hooks from inside these calls, and keeps no thread or timer.
+    Runs on the control thread: tick() about every 100 ms, receive() for each frame. Sends through
+    the transport and calls hooks from within these calls; owns no thread and no timer.
 
     @see docs/MEMBERSHIP.md
 */
@@ -127,52 +135,61 @@
     Membership(const Membership &) = delete;
     Membership &operator=(const Membership &) = delete;
 
-    /** Sets addresses of instances to begin with, from flags. */
+    /** Sets the initial contact addresses, from command-line flags. */
     void setSeeds(std::vector<PeerAddress> seeds) { seeds_ = std::move(seeds); }
-    /** Takes the platform's list: a source of addresses, never a reason to evict anybody. */
+    /**
+        Sets the platform's instance list: a source of contact addresses, never a reason to remove a
+        member.
+    */
     void setListed(const std::vector<ListedInstance> &listed);
 
     void tick(Millis now);
-    /** Takes a frame of FrameChannel::Membership. Returns false when it was malformed. */
+    /** Handles a frame of FrameChannel::Membership. Returns false if it was malformed. */
     bool receive(Millis now, const std::string &frame);
 
-    /** Announces this instance's planned stop to everybody at once. Cannot be taken back. */
+    /** Announces this instance's planned stop to its neighbours immediately. Cannot be revoked. */
     void leave(Millis now);
-    /** Tells everybody a fact at once; does nothing when it is not news here. */
+    /** Sends a fact to all members immediately; does nothing if the fact is already known here. */
     void broadcast(Millis now, const UrgentFact &fact);
-    /** Tells the neighbours at once what this instance's settings digest says now. */
+    /** Sends this instance's current settings digest to its neighbours immediately. */
     void announceDigest(Millis now);
-    /** Probes one member now, out of turn, for instance to confirm that settings are current. */
+    /**
+        Probes one member outside the regular schedule, for instance to confirm that settings are
+        current.
+    */
     void probe(Millis now, const InstanceId &member);
 
-    /** Returns all members but this one that are not dead. */
+    /** Returns all members that are not dead, without this one. */
     std::vector<MemberView> members() const;
     std::optional<MemberView> member(const InstanceId &id) const;
     const MemberRecord &self() const { return self_; }
-    PeerReach reach() const;
+    PeerReachability reach() const;
     const FactStore &facts() const { return facts_; }
-    /** Forgets facts that no longer matter, such as withdrawals that the settings contain. */
-    void forgetFacts(const std::function<bool(const UrgentFact &)> &isOver)
+    /**
+        Removes facts that are no longer needed, such as withdrawals that the settings contain by
+        now.
+    */
+    void removeFacts(const std::function<bool(const UrgentFact &)> &isObsolete)
     {
-        facts_.forget(isOver);
+        facts_.removeIf(isObsolete);
     }
     const MembershipStats &stats() const { return stats_; }
-    /** Returns how many pieces of news still ride along with messages. */
-    std::size_t pendingNews() const { return updates_.size(); }
-    /** Returns the hash that members compare. */
+    /** Returns how many updates are still to be piggybacked on messages. */
+    std::size_t pendingUpdates() const { return updates_.size(); }
+    /** Returns the hash that instances compare to detect differing tables. */
     std::uint64_t tableHash() const;
 
 private:
-    void noticeOwnPause(Millis now);
+    void detectOwnPause(Millis now);
     void probeNext(Millis now);
-    bool probeDistant(Millis now);
-    void followUpProbes(Millis now);
-    void askOthers(Millis now, std::uint64_t sequence);
+    bool probeRandomMember(Millis now);
+    void handleOverdueProbes(Millis now);
+    void requestIndirectProbes(Millis now, std::uint64_t sequence);
     void suspect(Millis now, const InstanceId &id);
-    void settleSuspicions(Millis now);
+    void resolveSuspicions(Millis now);
     void declareDead(Millis now, MemberEntry &entry);
-    void keepUnreachable(MemberEntry &entry);
-    void contactOthers(Millis now);
+    void markUnreachable(MemberEntry &entry);
+    void contactUnknownInstance(Millis now);
     std::vector<PeerAddress> contactAddresses() const;
 
     void handle(Millis now, const PingMessage &message);
@@ -182,32 +199,34 @@
     void handle(Millis now, const SyncReplyMessage &message);
     void handle(Millis now, const UrgentMessage &message);
 
-    /** How far news that arrived is passed on. */
-    enum class Spread : std::uint8_t {
-        /** Not at all: it came from comparing tables, so it is new here and not elsewhere. */
+    /** How far a received update is forwarded. */
+    enum class Forwarding : std::uint8_t {
+        /** Not forwarded: it came from a table comparison, so only this instance lacked it. */
         None,
-        /** Rides along with later messages, and goes to all neighbours at once where urgent. */
+        /** Piggybacked on later messages and, if urgent, sent to all neighbours immediately. */
         Full,
     };
 
-    void takeSender(Millis now, const MessageSender &sender, std::optional<Millis> askedAt);
+    void processSender(Millis now, const MessageSender &sender, std::optional<Millis> querySentAt);
     bool mayForwardRefutation(Millis now);
-    void takeGossip(Millis now, const Gossip &gossip, Spread spread, const InstanceId &from);
-    bool takeRecord(Millis now, const MemberRecord &record, Spread spread = Spread::Full);
-    void reportChange(const MemberRecord &known, const std::optional<MemberRecord> &before);
+    void processGossip(Millis now, const Gossip &gossip, Forwarding forwarding,
+                       const InstanceId &from);
+    bool mergeRecord(Millis now, const MemberRecord &record,
+                     Forwarding forwarding = Forwarding::Full);
+    void emitChangeEvents(const MemberRecord &known, const std::optional<MemberRecord> &previous);
     void refute(Millis now, const MemberRecord &claim);
     void compareTables(Millis now, const MessageSender &sender);
-    void forwardAtOnce(Millis now, const Gossip &news, const InstanceId &except);
+    void sendUrgent(Millis now, const Gossip &updates, const InstanceId &except);
     void membersChanged();
 
     MessageSender sender(Millis now) const;
-    Gossip takeNews();
-    std::uint32_t doublings() const;
+    Gossip takeUpdates();
+    std::uint32_t memberCountDoublings() const;
     void sendSyncRequest(Millis now, const PeerAddress &to, bool wantsFacts);
     void send(const PeerAddress &to, const MembershipMessage &message);
     void sendTo(const InstanceId &id, const MembershipMessage &message);
     const NeighbourRing &ring();
-    void report(const EventKind &kind, const MemberRecord &about);
+    void emitEvent(const EventKind &kind, const MemberRecord &about);
 
     MembershipConfig config_;
     MemberRecord self_;
@@ -215,23 +234,23 @@
     MemberTable table_;
     FactStore facts_;
     UpdateQueue updates_;
-    ProbeLedger probes_;
-    SilenceBound silenceBound_;
+    ProbeTracker probes_;
+    SilenceBound deadDeclarationLimit_;
     NeighbourRing ring_;
-    bool ringIsOld_ = true;
+    bool ringIsStale_ = true;
     mutable std::optional<std::uint64_t> tableHash_;
     std::size_t nextNeighbour_ = 0;
-    std::size_t factsPlace_ = 0;
+    std::size_t factsCursor_ = 0;
     std::optional<Millis> lastTick_;
     Millis nextProbeAt_;
     Millis nextContactAt_;
     Millis nextSyncAt_;
     std::optional<Millis> tablesDifferSince_;
-    std::optional<Millis> lastMalformedReport_;
+    std::optional<Millis> lastMalformedEventAt_;
     std::vector<PeerAddress> seeds_;
-    std::vector<PeerAddress> listed_;
-    std::set<RegionId> panicRegions_;
-    Millis refutationsSince_;
+    std::vector<PeerAddress> listedAddresses_;
+    std::set<RegionId> regionsOverLimit_;
+    Millis refutationWindowStart_;
     std::uint32_t refutationsForwarded_ = 0;
     MembershipStats stats_;
 };
--- a/modules/membership/MembershipMessageHandling.cpp
+++ b/modules/membership/MembershipMessageHandling.cpp
@@ -1,4 +1,4 @@
-// What arrives: the part of Membership that takes messages and the news in them.
+// The part of Membership that handles received messages and the updates in them.
 
 #include "core/events/EventCatalogue.h"
 #include "core/guards/Guards.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis kMalformedReportPeriod = Millis::minutes(1);
+constexpr Millis kMalformedEventInterval = Millis::minutes(1);
 
 bool isRefutation(const MemberRecord &record)
 {
@@ -28,8 +28,8 @@
         return true;
     }
     ++stats_.malformedFrames;
-    if (!lastMalformedReport_ || now >= *lastMalformedReport_ + kMalformedReportPeriod) {
-        lastMalformedReport_ = now;
+    if (!lastMalformedEventAt_ || now >= *lastMalformedEventAt_ + kMalformedEventInterval) {
+        lastMalformedEventAt_ = now;
         hooks_.events(
             Event{&events::peerFrameMalformed,
                   {{"channel", "membership"}, {"so_far", std::to_string(stats_.malformedFrames)}}});
@@ -39,38 +39,39 @@
 
 void Membership::handle(Millis now, const PingMessage &message)
 {
-    takeSender(now, message.sender, std::nullopt);
-    takeGossip(now, message.gossip, Spread::Full, message.sender.self.id);
+    processSender(now, message.sender, std::nullopt);
+    processGossip(now, message.gossip, Forwarding::Full, message.sender.self.id);
     AckMessage ack;
     ack.sender = sender(now);
     ack.sequence = message.sequence;
-    ack.answering = self_.id;
-    ack.gossip = takeNews();
+    ack.responder = self_.id;
+    ack.gossip = takeUpdates();
     send(message.sender.self.address, ack);
     compareTables(now, message.sender);
 }
 
 void Membership::handle(Millis now, const AckMessage &message)
 {
-    const auto probe = probes_.answered(message.sequence, message.answering);
-    takeSender(now, message.sender, probe ? std::optional<Millis>(probe->startedAt) : std::nullopt);
-    takeGossip(now, message.gossip, Spread::Full, message.sender.self.id);
+    const auto probe = probes_.handleAck(message.sequence, message.responder);
+    processSender(now, message.sender,
+                  probe ? std::optional<Millis>(probe->startedAt) : std::nullopt);
+    processGossip(now, message.gossip, Forwarding::Full, message.sender.self.id);
     compareTables(now, message.sender);
     if (probe)
         return;
-    const auto relayed = probes_.relayedAnswered(message.sequence, message.answering);
+    const auto relayed = probes_.handleRelayedAck(message.sequence, message.responder);
     if (!relayed)
         return;
     AckMessage ack;
     ack.sender = sender(now);
-    ack.sequence = relayed->askerSequence;
-    ack.answering = relayed->target;
-    sendTo(relayed->asker, ack);
+    ack.sequence = relayed->requesterSequence;
+    ack.responder = relayed->target;
+    sendTo(relayed->requester, ack);
 }
 
 void Membership::handle(Millis now, const PingRequestMessage &message)
 {
-    takeSender(now, message.sender, std::nullopt);
+    processSender(now, message.sender, std::nullopt);
     const MemberEntry *target = table_.find(message.target);
     if (target == nullptr)
         return;
@@ -83,122 +84,127 @@
 
 void Membership::handle(Millis now, const SyncRequestMessage &message)
 {
-    takeSender(now, message.sender, std::nullopt);
+    processSender(now, message.sender, std::nullopt);
     SyncReplyMessage reply;
     reply.sender = sender(now);
-    reply.gossip.members = recordsThatDiffer(table_, message.lines);
+    reply.gossip.members = differingRecords(table_, message.entries);
     if (message.wantsFacts && message.sender.factsHash != facts_.hash())
-        reply.gossip.facts = facts_.page(factsPlace_, MembershipLimits::facts / 2);
+        reply.gossip.facts = facts_.page(factsCursor_, MembershipLimits::facts / 2);
     send(message.sender.self.address, reply);
 }
 
 void Membership::handle(Millis now, const SyncReplyMessage &message)
 {
-    takeSender(now, message.sender, std::nullopt);
-    takeGossip(now, message.gossip, Spread::None, message.sender.self.id);
+    processSender(now, message.sender, std::nullopt);
+    processGossip(now, message.gossip, Forwarding::None, message.sender.self.id);
 }
 
 void Membership::handle(Millis now, const UrgentMessage &message)
 {
-    takeSender(now, message.sender, std::nullopt);
-    takeGossip(now, message.gossip, Spread::Full, message.sender.self.id);
+    processSender(now, message.sender, std::nullopt);
+    processGossip(now, message.gossip, Forwarding::Full, message.sender.self.id);
 }
 
-void Membership::takeSender(Millis now, const MessageSender &sender, std::optional<Millis> askedAt)
+void Membership::processSender(Millis now, const MessageSender &sender,
+                               std::optional<Millis> querySentAt)
 {
     if (sender.self.id == self_.id)
         return;
-    takeRecord(now, sender.self);
+    mergeRecord(now, sender.self);
     MemberEntry *entry = table_.find(sender.self.id);
     if (entry == nullptr || entry->record.incarnation != sender.self.incarnation)
         return;
     entry->settings = sender.settings;
     if (hooks_.onPeerDigest)
         hooks_.onPeerDigest(
-            PeerDigest{sender.self.id, sender.self.address, sender.settings, askedAt});
+            PeerDigest{sender.self.id, sender.self.address, sender.settings, querySentAt});
 }
 
-// After a cut all members refute at once. Passing each on at once would multiply that by the
-// neighbours of all; beyond a few a second they ride along, and comparing tables finds the rest.
+// After a network partition all members refute at the same time, and forwarding each refutation
+// immediately would multiply them by the number of neighbours. Beyond a few per second they are
+// only piggybacked, and table comparisons find the rest.
 bool Membership::mayForwardRefutation(Millis now)
 {
-    if (now >= refutationsSince_ + Millis::seconds(1)) {
-        refutationsSince_ = now;
+    if (now >= refutationWindowStart_ + Millis::seconds(1)) {
+        refutationWindowStart_ = now;
         refutationsForwarded_ = 0;
     }
-    return refutationsForwarded_++ < config_.refutationsPerSecond;
+    return refutationsForwarded_++ < config_.maxRefutationsPerSecond;
 }
 
-void Membership::takeGossip(Millis now, const Gossip &gossip, Spread spread, const InstanceId &from)
+void Membership::processGossip(Millis now, const Gossip &gossip, Forwarding forwarding,
+                               const InstanceId &from)
 {
     Gossip urgent;
     for (const MemberRecord &record : gossip.members) {
-        // A refutation runs against the time that is left until the member is declared dead.
+        // A refutation has to arrive before the suspicion timeout of the member expires.
         const bool isUrgent = record.leaving || (isRefutation(record) && mayForwardRefutation(now));
-        if (takeRecord(now, record, spread) && isUrgent)
+        if (mergeRecord(now, record, forwarding) && isUrgent)
             urgent.members.push_back(record);
     }
     for (const UrgentFact &fact : gossip.facts) {
         if (!facts_.add(fact))
             continue;
-        if (spread == Spread::Full)
+        if (forwarding == Forwarding::Full)
             updates_.add(fact);
         urgent.facts.push_back(fact);
         if (hooks_.onFact)
             hooks_.onFact(fact);
     }
     const bool hasUrgent = !urgent.members.empty() || !urgent.facts.empty();
-    if (hasUrgent && spread == Spread::Full && guardEnabled(Guard::UrgentForwarded))
-        forwardAtOnce(now, urgent, from);
+    if (hasUrgent && forwarding == Forwarding::Full && guardEnabled(Guard::UrgentForwarded))
+        sendUrgent(now, urgent, from);
 }
 
-bool Membership::takeRecord(Millis now, const MemberRecord &record, Spread spread)
+bool Membership::mergeRecord(Millis now, const MemberRecord &record, Forwarding forwarding)
 {
     if (record.id == self_.id) {
         refute(now, record);
         return false;
     }
     const MemberEntry *entry = table_.find(record.id);
-    const auto before = entry == nullptr ? std::nullopt : std::optional(entry->record);
-    if (table_.merge(record, now) == MergeResult::Old)
+    const auto previous = entry == nullptr ? std::nullopt : std::optional(entry->record);
+    if (table_.merge(record, now) == MergeResult::Unchanged)
         return false;
     entry = table_.find(record.id);
     if (entry == nullptr)
         return false;
-    if (spread == Spread::Full)
+    if (forwarding == Forwarding::Full)
         updates_.add(entry->record);
-    reportChange(entry->record, before);
+    emitChangeEvents(entry->record, previous);
     membersChanged();
     return true;
 }
 
-void Membership::reportChange(const MemberRecord &known, const std::optional<MemberRecord> &before)
+void Membership::emitChangeEvents(const MemberRecord &known,
+                                  const std::optional<MemberRecord> &previous)
 {
-    const bool isSameLife = before && before->incarnation == known.incarnation;
-    const MemberStatus oldStatus = isSameLife ? before->status : MemberStatus::Alive;
+    const bool isSameIncarnation = previous && previous->incarnation == known.incarnation;
+    const MemberStatus previousStatus = isSameIncarnation ? previous->status : MemberStatus::Alive;
     const bool isDead = known.status == MemberStatus::Dead;
-    if (!isSameLife && !isDead)
-        report(events::peerJoined, known);
-    if (known.leaving && !(isSameLife && before->leaving))
-        report(events::peerLeaving, known);
-    if (known.status == MemberStatus::Suspect && oldStatus == MemberStatus::Alive)
-        report(events::peerSuspected, known);
-    if (isDead && oldStatus != MemberStatus::Dead && !known.leaving)
-        report(events::peerDeclaredDead, known);
+    if (!isSameIncarnation && !isDead)
+        emitEvent(events::peerJoined, known);
+    if (known.leaving && !(isSameIncarnation && previous->leaving))
+        emitEvent(events::peerLeaving, known);
+    if (known.status == MemberStatus::Suspect && previousStatus == MemberStatus::Alive)
+        emitEvent(events::peerSuspected, known);
+    if (isDead && previousStatus != MemberStatus::Dead && !known.leaving)
+        emitEvent(events::peerDeclaredDead, known);
 }
 
-// Somebody lost sight of this instance and is about to have it declared dead. Only the instance
-// itself may contradict, by a higher refutation number; else news of one life could never settle.
+// A peer suspects this instance or declared it dead. Only the instance itself may contradict, with
+// a higher refutation number; otherwise conflicting updates about one incarnation would never
+// converge.
 void Membership::refute(Millis now, const MemberRecord &claim)
 {
-    const bool isAboutThisLife = claim.incarnation == self_.incarnation;
-    if (!isAboutThisLife || claim.status == MemberStatus::Alive
+    const bool isAboutThisIncarnation = claim.incarnation == self_.incarnation;
+    if (!isAboutThisIncarnation || claim.status == MemberStatus::Alive
         || claim.refutation < self_.refutation || !guardEnabled(Guard::SuspicionRefuted))
         return;
     self_.refutation = claim.refutation + 1;
     updates_.add(self_);
     tableHash_.reset();
-    forwardAtOnce(now, Gossip{{self_}, {}}, self_.id);
+    sendUrgent(now, Gossip{{self_}, {}}, self_.id);
 }
 
 void Membership::compareTables(Millis now, const MessageSender &sender)
@@ -210,7 +216,7 @@
     }
     if (!tablesDifferSince_)
         tablesDifferSince_ = now;
-    if (now < *tablesDifferSince_ + config_.syncPatience || now < nextSyncAt_)
+    if (now < *tablesDifferSince_ + config_.syncDelay || now < nextSyncAt_)
         return;
     tablesDifferSince_.reset();
     sendSyncRequest(now, sender.self.address, factsDiffer);
--- a/modules/membership/Membership_test.cpp
+++ b/modules/membership/Membership_test.cpp
@@ -34,14 +34,14 @@
     return count;
 }
 
-std::size_t deadAt(VirtualCluster &cluster, std::size_t about)
+std::size_t countDeclaredDead(VirtualCluster &cluster, std::size_t about)
 {
     return countWhere(cluster, about, [](const MemberView &view) {
         return view.record.status == MemberStatus::Dead;
     });
 }
 
-std::uint64_t evictions(VirtualCluster &cluster)
+std::uint64_t countDeadDeclarations(VirtualCluster &cluster)
 {
     std::uint64_t sum = 0;
     for (std::size_t i = 0; i < cluster.size(); ++i)
@@ -51,22 +51,22 @@
 
 } // namespace
 
-TEST_CASE("instances find each other from three seeds and stay within their budget")
+TEST_CASE("instances discover each other from three seeds within the time and traffic budget")
 {
     for (const std::size_t size : {2U, 6U, 24U, 96U}) {
         INFO(size);
-        const MembershipFigures figures = measureMembership(shapeOf(size, 3, 1));
-        CHECK(figures.timeToSettle < Millis::seconds(30));
-        CHECK(figures.bytesPerSecond < 2000);
-        CHECK(figures.worstBytesPerSecond < 6000);
-        CHECK(figures.factWorst < Millis(100));
-        CHECK(figures.wrongEvictions == 0);
+        const MembershipMeasurement measurement = measureMembership(shapeOf(size, 3, 1));
+        CHECK(measurement.convergenceTime < Millis::seconds(30));
+        CHECK(measurement.bytesPerSecond < 2000);
+        CHECK(measurement.worstBytesPerSecond < 6000);
+        CHECK(measurement.factWorst < Millis(100));
+        CHECK(measurement.falseDeadDeclarations == 0);
     }
 }
 
-// Frames get lost, one in twenty. A membership that believed each missing answer would evict
-// healthy instances all day, and their duties would move for nothing.
-TEST_CASE("lost frames evict nobody")
+// One frame in twenty is lost. If every missing ack counted as a failure, healthy instances would
+// be declared dead all the time and their duties reassigned for no reason.
+TEST_CASE("lost frames cause no dead declarations")
 {
     for (const std::uint64_t seed : {1U, 2U, 3U}) {
         ClusterShape shape = shapeOf(24);
@@ -75,14 +75,14 @@
         VirtualCluster cluster(shape);
         cluster.startAll();
         cluster.runFor(Millis::minutes(3));
-        CHECK(evictions(cluster) == 0);
+        CHECK(countDeadDeclarations(cluster) == 0);
         CHECK(cluster.isSettled());
     }
 }
 
-// One path between two instances is broken while all others work. Probing each other they get no
-// answer, but a third reaches both; so nobody is even suspected.
-TEST_CASE("a silence that others do not confirm raises no suspicion")
+// The link between two instances is broken while all others work. Their probes of each other fail,
+// but indirect probes through a third instance succeed, so no suspicion may be raised.
+TEST_CASE("a failed probe that indirect probes contradict raises no suspicion")
 {
     VirtualCluster cluster(shapeOf(6));
     std::size_t suspicions = 0;
@@ -97,26 +97,26 @@
     CHECK(suspicions == 0);
 }
 
-// A process is killed. Its peers must notice within seconds, all of them, or its duties stay
-// undone; and when it is started again under its name it must count at once.
-TEST_CASE("a crash is noticed by all, and the next life is welcome")
+// A process crashes. All peers have to detect it within seconds, or its duties stay unassigned;
+// restarted under the same name it has to be a full member again immediately.
+TEST_CASE("all peers detect a crash and accept the next incarnation")
 {
     VirtualCluster cluster(shapeOf(24));
     cluster.startAll();
     cluster.runFor(Millis::seconds(20));
     cluster.kill(7);
     cluster.runFor(Millis::seconds(10));
-    CHECK(deadAt(cluster, 7) == 23);
+    CHECK(countDeclaredDead(cluster, 7) == 23);
     cluster.start(7);
     cluster.runFor(Millis::seconds(10));
-    CHECK(deadAt(cluster, 7) == 0);
+    CHECK(countDeclaredDead(cluster, 7) == 0);
     CHECK(cluster.isSettled());
 }
 
-// An instance begins its planned stop. The platform's list will show it for minutes; if peers
-// went by that list they would hand it new duties. They hear it from itself within a moment, and
-// its later silence raises no alarm.
-TEST_CASE("a planned stop is known everywhere at once and cannot be taken back")
+// An instance announces its planned stop. The platform's list still contains it for minutes, and
+// peers that relied on the list would assign it new duties. The announcement has to reach all of
+// them within moments, and the later loss of contact must not be reported as a failure.
+TEST_CASE("a planned stop reaches all members immediately and cannot be revoked")
 {
     VirtualCluster cluster(shapeOf(24));
     cluster.startAll();
@@ -126,7 +126,7 @@
     const auto isLeaving = [](const MemberView &view) { return view.record.leaving; };
     CHECK(countWhere(cluster, 3, isLeaving) == 23);
 
-    // An older message, sent before the stop began, arrives late.
+    // A delayed message from before the stop arrives.
     UrgentMessage late;
     late.sender.self = cluster.membership(3).self();
     late.sender.self.leaving = false;
@@ -135,53 +135,54 @@
     cluster.runFor(Millis::seconds(5));
     CHECK(countWhere(cluster, 3, isLeaving) == 23);
 
-    std::size_t alarms = 0;
+    std::size_t failureEvents = 0;
     for (std::size_t i = 0; i < cluster.size(); ++i)
         cluster.at(i).events = [&](const Event &event) {
-            alarms += event.kind == &events::peerDeclaredDead ? 1 : 0;
+            failureEvents += event.kind == &events::peerDeclaredDead ? 1 : 0;
         };
     cluster.kill(3);
     cluster.runFor(Millis::seconds(10));
-    CHECK(deadAt(cluster, 3) == 23);
-    CHECK(alarms == 0);
+    CHECK(countDeclaredDead(cluster, 3) == 23);
+    CHECK(failureEvents == 0);
 }
 
-// A process stands still for half a minute, as a suspended machine does. When it goes on, every
-// probe of its own is overdue. It must not declare the others dead for its own absence, and the
-// others, who may have declared it dead, must take it back.
-TEST_CASE("a paused instance blames nobody and comes back")
+// A process is paused for 30 s, as on a suspended machine. When it resumes, all its probes are
+// overdue. It must not declare its peers dead because of its own pause, and the peers that declared
+// it dead have to accept it again.
+TEST_CASE("a resumed instance declares no peer dead and is accepted again")
 {
     VirtualCluster cluster(shapeOf(6));
     cluster.startAll();
     cluster.runFor(Millis::seconds(10));
-    const std::uint64_t before = cluster.membership(2).stats().declaredDead;
+    const std::uint64_t previous = cluster.membership(2).stats().declaredDead;
     std::size_t suspicions = 0;
     cluster.at(2).events = [&](const Event &event) {
         suspicions += event.kind == &events::peerSuspected ? 1 : 0;
     };
-    // Two lost answers see to it that probes are out when the pause begins.
+    // Two lost acks ensure that probes are outstanding when the pause begins.
     cluster.setConnected(2, false);
     cluster.runFor(Millis(800));
     cluster.setConnected(2, true);
     cluster.at(2).process->pauseUntil(cluster.now() + Millis::seconds(30));
     cluster.runFor(Millis::seconds(30));
-    CHECK(deadAt(cluster, 2) == 5);
+    CHECK(countDeclaredDead(cluster, 2) == 5);
     cluster.runFor(Millis::seconds(15));
-    CHECK(cluster.membership(2).stats().declaredDead == before);
+    CHECK(cluster.membership(2).stats().declaredDead == previous);
     CHECK(suspicions == 0);
     CHECK(cluster.isSettled());
 }
 
-// One instance loses its network. It sees all others silent; they see only it. It must keep them
-// as unreachable, since declaring five of six dead would let it think it holds the field alone.
-TEST_CASE("an instance cut off alone declares nobody dead")
+// One instance loses its network: to it all others are unresponsive, to the others only it is. It
+// has to keep them as unreachable, since declaring five of six dead would make it believe that it
+// is the only instance.
+TEST_CASE("an isolated instance declares no other member dead")
 {
     VirtualCluster cluster(shapeOf(6));
     cluster.startAll();
     cluster.runFor(Millis::seconds(10));
     cluster.setConnected(0, false);
     cluster.runFor(Millis::minutes(2));
-    CHECK(deadAt(cluster, 0) == 5);
+    CHECK(countDeclaredDead(cluster, 0) == 5);
     CHECK(cluster.membership(0).stats().declaredDead == 0);
     CHECK_FALSE(cluster.membership(0).reach().isMajority());
     CHECK(cluster.membership(1).reach().isMajority());
@@ -192,21 +193,22 @@
     CHECK(cluster.isSettled());
 }
 
-// Two regions lose each other for ten minutes. Each keeps all its own, declares nobody of the
-// other dead, still notices a crash in its own ranks, and the reunion is no storm of messages.
-TEST_CASE("regions that lose each other evict nobody and reunite quietly")
+// Two regions are partitioned for ten minutes. Each has to keep its members, must not declare
+// members of the other region dead and still has to detect a crash among its own; reconnecting must
+// not cause a burst of messages.
+TEST_CASE("partitioned regions declare no member dead and reconnect without a traffic burst")
 {
     VirtualCluster cluster(shapeOf(24, 4, 2));
     cluster.startAll();
     cluster.runFor(Millis::seconds(30));
     cluster.setRegionsCut(true);
     cluster.runFor(Millis::minutes(10));
-    CHECK(evictions(cluster) == 0);
+    CHECK(countDeadDeclarations(cluster) == 0);
     CHECK_FALSE(cluster.membership(0).reach().isMajority());
 
     cluster.kill(4);
     cluster.runFor(Millis::seconds(20));
-    CHECK(deadAt(cluster, 4) == 11); // its own region, where the others of it are
+    CHECK(countDeclaredDead(cluster, 4) == 11); // the other members of its own region
 
     cluster.setRegionsCut(false);
     cluster.resetCounts();
@@ -215,13 +217,13 @@
     for (std::size_t i = 0; i < cluster.size(); ++i)
         worst = std::max(worst, cluster.at(i).bytesSent);
     CHECK(worst < 30 * 6000);
-    CHECK(deadAt(cluster, 4) == 23);
+    CHECK(countDeclaredDead(cluster, 4) == 23);
     CHECK(cluster.isSettled());
 }
 
-// A failure domain is lost at once, a third of all. That is within what may be declared dead, or
-// its duties would wait for an operator.
-TEST_CASE("a lost failure domain is declared dead by the survivors")
+// A whole failure domain fails, a third of all instances. This has to stay within the limit of dead
+// declarations, or its duties would stay unassigned until an operator intervenes.
+TEST_CASE("the survivors declare a lost failure domain dead")
 {
     VirtualCluster cluster(shapeOf(24));
     cluster.startAll();
@@ -230,12 +232,12 @@
         cluster.kill(i);
     cluster.runFor(Millis::seconds(20));
     for (std::size_t i = 0; i < cluster.size(); i += 3)
-        CHECK(deadAt(cluster, i) == 16);
+        CHECK(countDeclaredDead(cluster, i) == 16);
 }
 
-// An instance was cut off while a key was withdrawn. When it is back it must hear of that, though
-// nobody repeats the news of an hour ago.
-TEST_CASE("facts that were missed are caught up with by comparing")
+// An instance is isolated while a key is withdrawn. The update is no longer piggybacked when it
+// reconnects, so only a comparison with a peer can deliver the fact.
+TEST_CASE("facts missed while isolated are received by comparison")
 {
     VirtualCluster cluster(shapeOf(6));
     cluster.startAll();
@@ -250,9 +252,9 @@
     CHECK(cluster.membership(5).facts().number(fact.kind, fact.subject) == 9);
 }
 
-// News must not wait for the next probe, half a second a hop: a withdrawn key would work on for
-// seconds at the far end.
-TEST_CASE("an urgent fact reaches everybody before the next probe")
+// If facts were only forwarded with the next probe, each hop would take 500 ms and a withdrawn key
+// would stay usable for seconds at distant instances.
+TEST_CASE("an urgent fact reaches all instances before the next probe")
 {
     VirtualCluster cluster(shapeOf(96, 7, 2));
     cluster.startAll();
@@ -264,8 +266,9 @@
         CHECK(cluster.membership(i).facts().size() == 1);
 }
 
-// A frame from a faulty peer cannot be read. It must change nothing and show in the counters.
-TEST_CASE("a malformed frame changes nothing and is counted")
+// A faulty peer sends frames that cannot be decoded. They must not change any state and have to be
+// counted.
+TEST_CASE("a malformed frame changes no state and is counted")
 {
     VirtualCluster cluster(shapeOf(3));
     cluster.startAll();
@@ -277,7 +280,7 @@
     CHECK(cluster.membership(0).tableHash() == hash);
 }
 
-TEST_CASE("a member known from the platform's list alone is contacted")
+TEST_CASE("an instance known only from the platform's list is contacted")
 {
     VirtualCluster cluster(shapeOf(5));
     for (std::size_t i = 0; i < 5; ++i)
--- a/modules/membership/detector/SilenceBound.h
+++ b/modules/membership/detector/SilenceBound.h
@@ -6,29 +6,30 @@
 namespace cuminrail {
 
 /**
-    Bounds how many members of a region may be declared dead for their silence alone.
+    Limits how many members of a region may be declared dead for being unresponsive.
 
-    When a large part of a region is silent at once, a cut between here and there is likelier than
-    that all of them stopped: declaring them dead would let the small side of a cut take up every
-    duty and forget its peers. They are then kept as unreachable, and still probed now and then.
-    Counted per region, so that losing sight of another region does not keep a dead instance of
-    this one from being noticed, and the reverse.
+    If a large part of a region is unresponsive at once, a network partition is more likely than a
+    failure of all of them. Declaring them dead would let the smaller side of the partition take
+    over every duty and forget its peers, so they are kept as unreachable and still probed
+    occasionally. Counted per region, so that losing contact with another region does not prevent
+    the detection of a dead instance in this one, and vice versa.
 */
 class SilenceBound
 {
 public:
     /**
-        @param share   of a region's members that may be silent and still be declared dead
-        @param window  how long a member that was declared dead counts as silent
+        @param share   share of a region's members that may be unresponsive and still be declared
+                       dead
+        @param window  how long a member declared dead counts as unresponsive
     */
-    SilenceBound(double share, Millis window) : share_(share), window_(window) { }
+    SilenceBound(double maxShare, Millis window) : maxShare_(maxShare), window_(window) { }
 
-    /** Returns true when the silent members of a region may be declared dead. */
+    /** Returns true if the unresponsive members of a region may be declared dead. */
     bool mayDeclareDead(const MemberTable &table, const MemberRecord &self, const RegionId &region,
                         Millis now) const;
 
 private:
-    double share_;
+    double maxShare_;
     Millis window_;
 };
 
--- a/modules/membership/facts/FactStore.cpp
+++ b/modules/membership/facts/FactStore.cpp
@@ -30,11 +30,11 @@
     return found == numbers_.end() ? 0 : found->second;
 }
 
-void FactStore::forget(const std::function<bool(const UrgentFact &)> &isOver)
+void FactStore::removeIf(const std::function<bool(const UrgentFact &)> &isObsolete)
 {
     for (auto entry = numbers_.begin(); entry != numbers_.end();) {
         const UrgentFact fact{entry->first.first, entry->first.second, entry->second};
-        if (!isOver(fact)) {
+        if (!isObsolete(fact)) {
             ++entry;
             continue;
         }
@@ -53,13 +53,13 @@
     return facts;
 }
 
-std::vector<UrgentFact> FactStore::page(std::size_t &place, std::size_t limit) const
+std::vector<UrgentFact> FactStore::page(std::size_t &cursor, std::size_t limit) const
 {
     std::vector<UrgentFact> facts;
-    if (place >= numbers_.size())
-        place = 0;
-    auto entry = std::next(numbers_.begin(), static_cast<std::ptrdiff_t>(place));
-    for (; entry != numbers_.end() && facts.size() < limit; ++entry, ++place)
+    if (cursor >= numbers_.size())
+        cursor = 0;
+    auto entry = std::next(numbers_.begin(), static_cast<std::ptrdiff_t>(cursor));
+    for (; entry != numbers_.end() && facts.size() < limit; ++entry, ++cursor)
         facts.push_back(UrgentFact{entry->first.first, entry->first.second, entry->second});
     return facts;
 }
--- a/modules/membership/facts/FactStore.h
+++ b/modules/membership/facts/FactStore.h
@@ -13,33 +13,32 @@
 namespace cuminrail {
 
 /**
-    The urgent facts that still matter: of each kind and subject the greatest number.
+    The urgent facts still needed: the greatest number for each kind and subject.
 
-    Kept so that an instance that was cut off, or has just started, can be told what it missed;
-    two instances compare hashes to see whether there is anything to tell.
+    Stored so that an instance that was isolated or has just started can catch up; two instances
+    compare hashes to find out whether they differ.
 */
 class FactStore
 {
 public:
-    /** Above this the oldest subjects of a kind in order of name are let go. */
+    /** Beyond this, the first subject in order of kind and name is evicted. */
     static constexpr std::size_t maxFacts = 8192;
 
-    /** Returns true when the fact is news. */
+    /** Returns true if the fact was not known. */
     bool add(const UrgentFact &fact);
 
-    /** Returns the greatest number known for a subject, 0 for none. */
+    /** Returns the greatest number known for a subject, 0 if there is none. */
     std::uint64_t number(UrgentFactKind kind, const std::string &subject) const;
 
-    /** Forgets facts that a predicate says no longer matter. */
-    void forget(const std::function<bool(const UrgentFact &)> &isOver);
+    /** Removes the facts for which the predicate returns true. */
+    void removeIf(const std::function<bool(const UrgentFact &)> &isObsolete);
 
-    /** Returns all facts of a kind. */
     std::vector<UrgentFact> ofKind(UrgentFactKind kind) const;
 
-    /** Returns up to @c limit facts, beginning at a place that the caller moves on. */
-    std::vector<UrgentFact> page(std::size_t &place, std::size_t limit) const;
+    /** Returns up to @c limit facts from the cursor on, and advances the cursor. */
+    std::vector<UrgentFact> page(std::size_t &cursor, std::size_t limit) const;
 
-    /** Returns a hash over all facts, for comparing with a peer. */
+    /** Returns a hash of all facts, for comparison with a peer. */
     std::uint64_t hash() const { return hash_; }
     std::size_t size() const { return numbers_.size(); }
 
--- a/modules/membership/facts/UrgentFact.h
+++ b/modules/membership/facts/UrgentFact.h
@@ -8,7 +8,7 @@
 namespace cuminrail {
 
 enum class UrgentFactKind : std::uint8_t {
-    /** Subject: a key's SHA-256 in hexadecimal. Number: the settings head that withdraws it. */
+    /** Subject: SHA-256 of a key in hexadecimal. Number: the settings head that withdraws it. */
     KeyWithdrawn,
     /** Subject: an upstream. Number: its incarnation that is leaving. */
     UpstreamLeaving,
@@ -20,10 +20,10 @@
 }}};
 
 /**
-    Something small that all instances must know at once.
+    A small fact that all instances have to receive without delay.
 
-    Of two facts of one kind and subject only the one with the greater number matters, so facts
-    can be repeated and arrive in any order.
+    For each kind and subject only the greatest number counts, so facts may be received repeatedly
+    and in any order.
 */
 struct UrgentFact
 {
--- a/modules/membership/gossip/TableComparison.cpp
+++ b/modules/membership/gossip/TableComparison.cpp
@@ -11,43 +11,43 @@
 
 constexpr std::size_t kRecordBytes = 40 * 1024;
 
-TableLine lineOf(const MemberRecord &record)
+TableSummaryEntry summaryEntryOf(const MemberRecord &record)
 {
-    return TableLine{StableHash().add(record.id.text()).value(), MemberTable::hash(record)};
+    return TableSummaryEntry{StableHash().add(record.id.text()).value(), MemberTable::hash(record)};
 }
 
 } // namespace
 
-std::vector<TableLine> summarize(const MemberTable &table, const MemberRecord &self)
+std::vector<TableSummaryEntry> summarize(const MemberTable &table, const MemberRecord &self)
 {
-    // Without the own line the reply would describe the sender to itself.
-    std::vector<TableLine> lines{lineOf(self)};
+    // Without an entry for the sender the reply would contain the sender's own record.
+    std::vector<TableSummaryEntry> entries{summaryEntryOf(self)};
     for (const auto &item : table.entries()) {
         const MemberRecord &record = item.second.record;
-        if (record.status != MemberStatus::Dead && lines.size() < MembershipLimits::lines)
-            lines.push_back(lineOf(record));
+        if (record.status != MemberStatus::Dead && entries.size() < MembershipLimits::entries)
+            entries.push_back(summaryEntryOf(record));
     }
-    return lines;
+    return entries;
 }
 
-std::vector<MemberRecord> recordsThatDiffer(const MemberTable &table,
-                                            const std::vector<TableLine> &summary)
+std::vector<MemberRecord> differingRecords(const MemberTable &table,
+                                           const std::vector<TableSummaryEntry> &summary)
 {
-    std::unordered_map<std::uint64_t, std::uint64_t> theirs;
-    for (const TableLine &line : summary)
-        theirs[line.idHash] = line.recordHash;
+    std::unordered_map<std::uint64_t, std::uint64_t> peerHashes;
+    for (const TableSummaryEntry &entry : summary)
+        peerHashes[entry.idHash] = entry.recordHash;
     std::vector<MemberRecord> records;
     std::size_t bytes = 0;
     for (const auto &item : table.entries()) {
         const MemberRecord &record = item.second.record;
-        const TableLine line = lineOf(record);
-        const auto known = theirs.find(line.idHash);
+        const TableSummaryEntry entry = summaryEntryOf(record);
+        const auto known = peerHashes.find(entry.idHash);
         const bool isDead = record.status == MemberStatus::Dead;
-        const bool isUnknown = known == theirs.end();
-        const bool isTold = isUnknown ? !isDead : isDead || known->second != line.recordHash;
-        if (!isTold)
+        const bool isUnknown = known == peerHashes.end();
+        const bool isIncluded = isUnknown ? !isDead : isDead || known->second != entry.recordHash;
+        if (!isIncluded)
             continue;
-        bytes += newsSize(record);
+        bytes += updateSize(record);
         if (bytes > kRecordBytes || records.size() >= MembershipLimits::records)
             break;
         records.push_back(record);
--- a/modules/membership/gossip/TableComparison.h
+++ b/modules/membership/gossip/TableComparison.h
@@ -7,15 +7,17 @@
 
 namespace cuminrail {
 
-/** Returns a summary of all members that are not dead, and of this one. */
-std::vector<TableLine> summarize(const MemberTable &table, const MemberRecord &self);
+/** Returns a summary of all members that are not dead, including this one. */
+std::vector<TableSummaryEntry> summarize(const MemberTable &table, const MemberRecord &self);
 
 /**
-    Returns the records of a table that a summary lacks or has otherwise, as many as fit a message.
+    Returns the table's records that are missing from a summary or differ from it, as many as fit
+    into one message.
 
-    Of the dead only those that the summary takes for living: nobody needs to hear of the others.
+    Dead members are included only if the summary lists them as not dead; all other instances have
+    no use for them.
 */
-std::vector<MemberRecord> recordsThatDiffer(const MemberTable &table,
-                                            const std::vector<TableLine> &summary);
+std::vector<MemberRecord> differingRecords(const MemberTable &table,
+                                           const std::vector<TableSummaryEntry> &summary);
 
 } // namespace cuminrail
--- a/modules/membership/gossip/UpdateQueue.h
+++ b/modules/membership/gossip/UpdateQueue.h
@@ -10,29 +10,29 @@
 
 namespace cuminrail {
 
-/** Returns roughly how many bytes a piece of news takes in a message. */
-std::size_t newsSize(const MemberRecord &record);
-std::size_t newsSize(const UrgentFact &fact);
+/** Returns the approximate number of bytes that an update takes in a message. */
+std::size_t updateSize(const MemberRecord &record);
+std::size_t updateSize(const UrgentFact &fact);
 
 /**
-    News that still has to ride along with messages, what was sent least often first.
+    Updates still to be piggybacked on messages, those sent least often first.
 
-    Each piece is sent a bounded number of times, a small multiple of the logarithm of the number
-    of members: enough to reach all with near certainty, and then it costs nothing more.
+    Each update is sent a limited number of times, a small multiple of the logarithm of the number
+    of members: enough to reach all of them with near certainty, without further cost afterwards.
 */
 class UpdateQueue
 {
 public:
-    /** Adds news of a member, in place of older news of the same member. */
+    /** Adds an update about a member and replaces an older one about the same member. */
     void add(const MemberRecord &record);
-    /** Adds a fact, in place of the same one with a smaller number. */
+    /** Adds a fact and replaces the same one with a smaller number. */
     void add(const UrgentFact &fact);
 
     /**
-        Takes news for one message.
+        Takes updates for one message.
 
-        @param budget     bytes that the news may have, roughly
-        @param maxSends   how often one piece is sent before it is dropped
+        @param budget     approximate number of bytes available for updates
+        @param maxSends   how often one update is sent before it is dropped
     */
     Gossip take(std::size_t budget, std::uint32_t maxSends);
 
@@ -40,15 +40,15 @@
 
 private:
     template<typename T>
-    struct Waiting
+    struct Pending
     {
-        T news;
+        T update;
         std::uint32_t sends = 0;
     };
     using FactKey = std::pair<UrgentFactKind, std::string>;
 
-    std::map<InstanceId, Waiting<MemberRecord>> members_;
-    std::map<FactKey, Waiting<UrgentFact>> facts_;
+    std::map<InstanceId, Pending<MemberRecord>> members_;
+    std::map<FactKey, Pending<UrgentFact>> facts_;
 };
 
 } // namespace cuminrail
--- a/modules/membership/measure/MembershipMeasure.h
+++ b/modules/membership/measure/MembershipMeasure.h
@@ -4,27 +4,33 @@
 
 namespace cuminrail {
 
-/** What membership costs an instance, and how fast it is, at one size. */
-struct MembershipFigures
+/** Traffic and propagation times of the membership for one cluster size. */
+struct MembershipMeasurement
 {
     std::size_t instances = 0;
-    /** Sent by one instance in a second at rest, framing included: mean and the busiest one. */
+    /**
+        Sent per instance and second in the steady state, including framing: mean, and the busiest
+        instance.
+    */
     double bytesPerSecond = 0;
     double worstBytesPerSecond = 0;
     double framesPerSecond = 0;
-    /** From the start of all instances until all know all. */
-    Millis timeToSettle;
-    /** From an urgent fact's broadcast until half, and until all, know it. */
+    /** From the start of all instances until each knows all others. */
+    Millis convergenceTime;
+    /**
+        From the broadcast of an urgent fact until half, and until all, of the instances received
+        it.
+    */
     Millis factMedian;
     Millis factWorst;
-    /** From a crash until half, and until all, have declared the instance dead. */
+    /** From a crash until half, and until all, of the instances have declared the instance dead. */
     Millis crashMedian;
     Millis crashWorst;
-    /** Members declared dead that were running, over the whole run. */
-    std::uint64_t wrongEvictions = 0;
+    /** Running members that were declared dead, over the whole run. */
+    std::uint64_t falseDeadDeclarations = 0;
 };
 
-/** Runs a cluster of a shape in virtual time and measures; the same seed gives the same figures. */
-MembershipFigures measureMembership(const ClusterShape &shape);
+/** Simulates a cluster of the given shape in virtual time; the same seed yields the same result. */
+MembershipMeasurement measureMembership(const ClusterShape &shape);
 
 } // namespace cuminrail
--- a/modules/membership/measure/VirtualCluster.cpp
+++ b/modules/membership/measure/VirtualCluster.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr std::int64_t kStartSpread = 2000;
-constexpr Millis kDelayInRegion{1};
-constexpr Millis kDelayBetweenRegions{15};
+constexpr std::int64_t kStartWindowMs = 2000;
+constexpr Millis kLatencyInRegion{1};
+constexpr Millis kLatencyBetweenRegions{15};
 constexpr std::size_t kSeeds = 3;
 constexpr std::uint64_t kLossScale = 1000000;
 
@@ -99,10 +99,10 @@
 void VirtualCluster::startAll()
 {
     for (std::size_t i = 0; i < size(); ++i) {
-        const auto delay = static_cast<std::int64_t>(random_() % kStartSpread);
+        const auto delay = static_cast<std::int64_t>(random_() % kStartWindowMs);
         scheduler_.after(Millis(delay), [this, i] { start(i); });
     }
-    runFor(Millis(kStartSpread));
+    runFor(Millis(kStartWindowMs));
 }
 
 void VirtualCluster::tick(std::size_t index, const FakeProcessPtr &process)
@@ -141,10 +141,11 @@
     VirtualInstance &sender = at(from);
     sender.bytesSent += frame.size() + linkOverhead;
     ++sender.framesSent;
-    const auto lossBound = static_cast<std::uint64_t>(shape_.loss * double(kLossScale));
-    if (target >= size() || !isReachable(from, target) || random_() % kLossScale < lossBound)
+    const auto lossThreshold = static_cast<std::uint64_t>(shape_.loss * double(kLossScale));
+    if (target >= size() || !isReachable(from, target) || random_() % kLossScale < lossThreshold)
         return;
-    const Millis delay = regionOf(from) == regionOf(target) ? kDelayInRegion : kDelayBetweenRegions;
+    const Millis delay =
+        regionOf(from) == regionOf(target) ? kLatencyInRegion : kLatencyBetweenRegions;
     scheduler_.after(delay, [this, target, frame = std::move(frame)] { deliver(target, frame); });
 }
 
@@ -169,7 +170,7 @@
     for (std::size_t i = 0; i < size(); ++i) {
         if (!at(i).process || !at(i).process->isAlive())
             continue;
-        const PeerReach reach = membership(i).reach();
+        const PeerReachability reach = membership(i).reach();
         if (reach.known != running || reach.alive != running)
             return false;
     }
--- a/modules/membership/measure/VirtualCluster.h
+++ b/modules/membership/measure/VirtualCluster.h
@@ -16,28 +16,28 @@
 
 namespace cuminrail {
 
-/** How many instances, and how they are spread. */
+/** Number of instances and their distribution over failure domains and regions. */
 struct ClusterShape
 {
     std::size_t instances = 6;
     std::size_t domains = 3;
     std::size_t regions = 1;
-    /** Share of frames that are lost. */
+    /** Share of frames lost. */
     double loss = 0;
     std::uint64_t seed = 1;
 };
 
-/** One instance of a virtual cluster. */
+/** One instance of a simulated cluster. */
 struct VirtualInstance
 {
     FakeProcessPtr process;
     std::unique_ptr<Membership> membership;
-    /** False while the instance reaches no other. */
+    /** False while the instance is isolated from all others. */
     bool connected = true;
     std::uint64_t bytesSent = 0;
     std::uint64_t bytesReceived = 0;
     std::uint64_t framesSent = 0;
-    /** What the rest of the instance does, set by a test. */
+    /** Hooks that a test sets in place of the rest of the instance. */
     std::function<SettingsDigest(Millis)> settingsDigest;
     std::function<void(const UrgentFact &)> onFact;
     std::function<void(const PeerDigest &)> onPeerDigest;
@@ -48,16 +48,16 @@
 };
 
 /**
-    Many memberships in virtual time on a virtual network, for tests and measurements.
+    Several memberships in virtual time on a simulated network, for tests and measurements.
 
-    Frames are really encoded and decoded. They take 1 ms within a region and 15 ms between two;
-    they are lost at random, when a region is cut off, or when an end is not running. Nothing
-    else of the world is modelled.
+    Frames are actually encoded and decoded. The latency is 1 ms within a region and 15 ms between
+    two. Frames are lost at random, when regions are partitioned and when the sender or receiver is
+    not running. Nothing else is simulated.
 */
 class VirtualCluster
 {
 public:
-    /** Bytes that websocket, frame authentication, TCP and IP add to a frame. */
+    /** Bytes added to a frame by WebSocket, frame authentication, TCP and IP. */
     static constexpr std::size_t linkOverhead = 84;
     static constexpr Millis tickPeriod{100};
 
@@ -71,26 +71,29 @@
     VirtualInstance &at(std::size_t index) { return *instances_[index]; }
     Membership &membership(std::size_t index) { return *instances_[index]->membership; }
 
-    /** Starts one instance with the first three as its seeds; again for a new life of it. */
+    /**
+        Starts an instance, or restarts it as a new incarnation, with the first three instances as
+        seeds.
+    */
     void start(std::size_t index);
-    /** Starts all, spread over two seconds. */
+    /** Starts all instances, distributed over two seconds. */
     void startAll();
     void runFor(Millis span) { scheduler_.runFor(span); }
 
-    /** Ends the process without a word. */
+    /** Ends the process without an announcement. */
     void kill(std::size_t index) { at(index).process->kill(); }
-    /** Cuts off one instance from all others, or joins it again. */
+    /** Isolates an instance from all others, or reconnects it. */
     void setConnected(std::size_t index, bool connected) { at(index).connected = connected; }
-    /** Cuts the path between two instances alone, both ways. */
+    /** Cuts or restores the link between two instances, in both directions. */
     void setPathCut(std::size_t one, std::size_t other, bool cut);
-    /** Lets regions lose each other, or find each other again. */
+    /** Partitions the regions, or reconnects them. */
     void setRegionsCut(bool cut) { regionsCut_ = cut; }
-    /** Sends a frame as an instance would. */
+    /** Sends a frame from an instance over the simulated network. */
     void send(std::size_t from, const PeerAddress &to, std::string frame);
 
-    /** Returns true when all running instances know exactly each other, all alive. */
+    /** Returns true if every running instance knows exactly the running instances, all as alive. */
     bool isSettled();
-    /** Sets all byte and frame counts to zero. */
+    /** Resets all byte and frame counts. */
     void resetCounts();
 
     static InstanceId idOf(std::size_t index);
--- a/modules/membership/membership.h
+++ b/modules/membership/membership.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /**
-    Which instances there are, whether they answer, and urgent facts told to all of them.
+    Membership: known instances, failure detection, and urgent facts broadcast to all instances.
 
-    Purpose: instances learn of each other from seeds, the platform's lagging list and each other.
-    Each probes a few neighbours on a ring of hashes, asks others to confirm a silence before it
-    is believed, and passes news on with its messages. Cost per instance grows with the logarithm
-    of their number. docs/MEMBERSHIP.md says what was weighed and measured.
+    Purpose: instances discover each other from seeds, from the platform's instance list (which lags
+    behind) and from each other. Each probes a few neighbours on a hash ring, asks other members for
+    indirect probes before it suspects one, and piggybacks updates on its messages. The cost per
+    instance grows with the logarithm of their number. docs/MEMBERSHIP.md describes the alternatives
+    and gives figures.
 
     Depends on: core, ports, nlohmann-json.
 */
--- a/modules/membership/messages/CborArray.cpp
+++ b/modules/membership/messages/CborArray.cpp
@@ -12,11 +12,11 @@
     return empty;
 }
 
-/** Looks through a frame without building a value; stops at the first thing out of bounds. */
-class BoundsCheck : public nlohmann::json_sax<nlohmann::json>
+/** Parses a frame without building a value, and stops at the first element that exceeds a limit. */
+class LimitCheck : public nlohmann::json_sax<nlohmann::json>
 {
 public:
-    explicit BoundsCheck(std::size_t mostElements) : mostElements_(mostElements) { }
+    explicit LimitCheck(std::size_t maxElements) : maxElements_(maxElements) { }
 
     bool null() override { return false; }
     bool boolean(bool) override { return count(); }
@@ -32,7 +32,7 @@
     bool start_array(std::size_t size) override
     {
         ++depth_;
-        return size <= mostElements_ && depth_ <= FrameLimits::depth && count();
+        return size <= maxElements_ && depth_ <= FrameLimits::depth && count();
     }
 
     bool end_array() override
@@ -47,9 +47,9 @@
     }
 
 private:
-    bool count() { return ++elements_ <= mostElements_; }
+    bool count() { return ++elements_ <= maxElements_; }
 
-    std::size_t mostElements_;
+    std::size_t maxElements_;
     std::size_t depth_ = 0;
     std::size_t elements_ = 0;
 };
@@ -61,7 +61,7 @@
     using nlohmann::json;
     if (frame.size() > bounds.bytes)
         return std::nullopt;
-    BoundsCheck check(bounds.elements);
+    LimitCheck check(bounds.elements);
     if (!json::sax_parse(frame, &check, json::input_format_t::cbor))
         return std::nullopt;
     json value = json::from_cbor(frame, true, false);
@@ -78,14 +78,14 @@
 }
 
 CborArray::CborArray(const nlohmann::json &value)
-    : value_(value.is_array() ? value : emptyArray()), good_(value.is_array())
+    : value_(value.is_array() ? value : emptyArray()), valid_(value.is_array())
 { }
 
 const nlohmann::json *CborArray::next()
 {
-    if (good_ && place_ < value_.size())
-        return &value_[place_++];
-    good_ = false;
+    if (valid_ && position_ < value_.size())
+        return &value_[position_++];
+    valid_ = false;
     return nullptr;
 }
 
@@ -94,7 +94,7 @@
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_number_unsigned()
         || element->get<std::uint64_t>() > maximum) {
-        good_ = false;
+        valid_ = false;
         return 0;
     }
     return element->get<std::uint64_t>();
@@ -104,7 +104,7 @@
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_boolean()) {
-        good_ = false;
+        valid_ = false;
         return false;
     }
     return element->get<bool>();
@@ -114,14 +114,14 @@
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_string()) {
-        good_ = false;
+        valid_ = false;
         return {};
     }
     const auto &text = element->get_ref<const std::string &>();
     const bool isPrintable =
         std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
     if (!isPrintable || text.size() > maximum || (text.empty() && !mayBeEmpty)) {
-        good_ = false;
+        valid_ = false;
         return {};
     }
     return text;
@@ -131,7 +131,7 @@
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_binary() || element->get_binary().size() > maximum) {
-        good_ = false;
+        valid_ = false;
         return {};
     }
     const auto &binary = element->get_binary();
@@ -142,7 +142,7 @@
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_array() || element->size() > maximum) {
-        good_ = false;
+        valid_ = false;
         return emptyArray();
     }
     return *element;
--- a/modules/membership/messages/CborArray.h
+++ b/modules/membership/messages/CborArray.h
@@ -10,7 +10,7 @@
 
 namespace cuminrail {
 
-/** Bounds on any frame between instances. */
+/** Limits for any frame between instances. */
 struct FrameLimits
 {
     static constexpr std::size_t bytes = 64 * 1024;
@@ -18,7 +18,7 @@
     static constexpr std::size_t elements = 8192;
 };
 
-/** Bounds on what is decoded, where they are not those of a frame. */
+/** Limits for a decoded value that is not a frame. */
 struct CborBounds
 {
     std::size_t bytes = FrameLimits::bytes;
@@ -26,10 +26,10 @@
 };
 
 /**
-    Decodes a frame within bounds; nothing for anything else.
+    Decodes a frame; returns nothing if it is malformed or exceeds a limit.
 
-    The library's decoder recurses with the nesting and trusts announced lengths: without the
-    bounds a small frame of nested arrays would overflow the stack of the control thread.
+    The library's decoder recurses with the nesting and trusts announced lengths: without these
+    limits a small frame of nested arrays would overflow the stack of the control thread.
 */
 std::optional<nlohmann::json> decodeCbor(const std::string &frame, const CborBounds &bounds = {});
 
@@ -37,10 +37,10 @@
 std::string encodeCbor(const nlohmann::json &value);
 
 /**
-    Takes the elements of a CBOR array one by one, strictly.
+    Reads the elements of a CBOR array in order, strictly.
 
-    After the first element that is missing, of another type or out of bounds, everything else
-    gives empty values and isGood() stays false, so that a decoder checks once, at its end.
+    After the first element that is missing, has another type or exceeds a limit, all further reads
+    return empty values and isGood() stays false, so that a decoder needs only one check at its end.
 */
 class CborArray
 {
@@ -49,32 +49,32 @@
 
     std::uint64_t number(std::uint64_t maximum = UINT64_MAX);
     bool boolean();
-    /** A text of printable ASCII without spaces. */
+    /** Reads a text of printable ASCII without spaces. */
     std::string name(std::size_t maximum, bool mayBeEmpty = false);
-    /** Any bytes. */
+    /** Reads a byte string. */
     std::string bytes(std::size_t maximum);
-    /** A nested array with at most so many elements; an empty one when there is none. */
+    /** Reads a nested array of at most this many elements; an empty one on error. */
     const nlohmann::json &list(std::size_t maximum);
 
-    /** Returns true when every element so far was as expected. */
-    bool isGood() const { return good_; }
-    /** Returns true when, besides, no element is left. */
-    bool isWhole() const { return good_ && place_ == value_.size(); }
-    void fail() { good_ = false; }
+    /** Returns true if all elements read so far were valid. */
+    bool isGood() const { return valid_; }
+    /** Returns true if, in addition, no element remains. */
+    bool isWhole() const { return valid_ && position_ == value_.size(); }
+    void fail() { valid_ = false; }
 
 private:
     const nlohmann::json *next();
 
     const nlohmann::json &value_;
-    std::size_t place_ = 0;
-    bool good_ = true;
+    std::size_t position_ = 0;
+    bool valid_ = true;
 };
 
 /**
-    Decodes a frame that is one array.
+    Decodes a frame that consists of one array.
 
-    @param take  takes the elements and returns the message, or nothing
-    @returns nothing unless the message took every element, and each was as expected
+    @param take  reads the elements and returns the message, or nothing
+    @returns nothing unless all elements were read and valid
 */
 template<typename Take>
 auto decodeFrame(const std::string &frame, Take take) -> decltype(take(std::declval<CborArray &>()))
--- a/modules/membership/messages/FrameChannel.h
+++ b/modules/membership/messages/FrameChannel.h
@@ -8,13 +8,13 @@
 
 namespace cuminrail {
 
-/** Which module a frame between instances is for: the first element of its CBOR array. */
+/** The module that handles a frame between instances: the first element of its CBOR array. */
 enum class FrameChannel : std::uint8_t {
     Membership = 1,
     ConfigSync = 2,
     /** Budgets of customers' limits, lent between instances. */
     Budgets = 3,
-    /** Engines' loads and facts. */
+    /** Loads and facts of engines. */
     EngineReports = 4,
 };
 
@@ -25,7 +25,7 @@
     {FrameChannel::EngineReports, "engine-reports"},
 }}};
 
-/** Returns which module a frame is for, or nothing for a frame that is for none. */
+/** Returns the module that handles a frame, or nothing if the channel is unknown. */
 std::optional<FrameChannel> frameChannel(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/membership/messages/MembershipCodec.cpp
+++ b/modules/membership/messages/MembershipCodec.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-/** The second element of a frame, after its channel. */
+/** The second element of a frame, after the channel. */
 enum class MessageCode : std::uint8_t {
     Ping = 1,
     Ack = 2,
@@ -132,7 +132,7 @@
 {
     Json json = head(MessageCode::Ack, message.sender);
     json.push_back(message.sequence);
-    json.push_back(message.answering.text());
+    json.push_back(message.responder.text());
     json.push_back(toJson(message.gossip));
     return json;
 }
@@ -148,12 +148,12 @@
 Json toJson(const SyncRequestMessage &message)
 {
     Json json = head(MessageCode::SyncRequest, message.sender);
-    Json lines = Json::array();
-    for (const TableLine &line : message.lines) {
-        lines.push_back(line.idHash);
-        lines.push_back(line.recordHash);
+    Json entries = Json::array();
+    for (const TableSummaryEntry &line : message.entries) {
+        entries.push_back(line.idHash);
+        entries.push_back(line.recordHash);
     }
-    json.push_back(std::move(lines));
+    json.push_back(std::move(entries));
     json.push_back(message.wantsFacts);
     return json;
 }
@@ -186,7 +186,7 @@
     AckMessage message;
     message.sender = std::move(sender);
     message.sequence = array.number();
-    message.answering = InstanceId(array.name(MembershipLimits::name));
+    message.responder = InstanceId(array.name(MembershipLimits::name));
     message.gossip = readGossip(array, array.list(2));
     return message;
 }
@@ -204,14 +204,14 @@
 {
     SyncRequestMessage message;
     message.sender = std::move(sender);
-    CborArray lines(array.list(MembershipLimits::lines * 2));
-    while (lines.isGood() && !lines.isWhole()) {
-        TableLine line;
-        line.idHash = lines.number();
-        line.recordHash = lines.number();
-        message.lines.push_back(line);
+    CborArray entries(array.list(MembershipLimits::entries * 2));
+    while (entries.isGood() && !entries.isWhole()) {
+        TableSummaryEntry line;
+        line.idHash = entries.number();
+        line.recordHash = entries.number();
+        message.entries.push_back(line);
     }
-    if (!lines.isWhole())
+    if (!entries.isWhole())
         array.fail();
     message.wantsFacts = array.boolean();
     return message;
--- a/modules/membership/messages/MembershipCodec.h
+++ b/modules/membership/messages/MembershipCodec.h
@@ -7,12 +7,12 @@
 
 namespace cuminrail {
 
-/** Returns the frame of a message. */
+/** Encodes a message as a frame. */
 std::string encodeMembership(const MembershipMessage &message);
 
 /**
-    Reads a frame strictly: any element that is missing, left over, of another type or out of
-    bounds makes the whole frame nothing, so that it changes nothing.
+    Decodes a frame strictly: if any element is missing, superfluous, of another type or out of
+    range, the whole frame is rejected.
 */
 std::optional<MembershipMessage> decodeMembership(const std::string &frame);
 
--- a/modules/membership/messages/MembershipCodec_test.cpp
+++ b/modules/membership/messages/MembershipCodec_test.cpp
@@ -30,14 +30,14 @@
     return {PingMessage{sender(), 5, gossip},
             AckMessage{sender(), 5, InstanceId("a-1"), gossip},
             PingRequestMessage{sender(), 6, InstanceId("b-1")},
-            SyncRequestMessage{sender(), {TableLine{1, 2}, TableLine{3, 4}}, false},
+            SyncRequestMessage{sender(), {TableSummaryEntry{1, 2}, TableSummaryEntry{3, 4}}, false},
             SyncReplyMessage{sender(), gossip},
             UrgentMessage{sender(), gossip}};
 }
 
 } // namespace
 
-TEST_CASE("messages come back from their frames")
+TEST_CASE("messages survive encoding and decoding unchanged")
 {
     for (const MembershipMessage &message : examples()) {
         const std::string frame = encodeMembership(message);
@@ -49,12 +49,12 @@
     }
 }
 
-// A peer of another version, or one with a fault, sends a frame that is damaged somewhere. If
-// any of it were taken, a half-read message could evict a member or announce a false key.
-TEST_CASE("a damaged frame gives nothing and harms nothing")
+// A peer of another version, or a faulty one, sends a corrupted frame. If a part of it were
+// accepted, the message could remove a member or announce a wrong key as withdrawn.
+TEST_CASE("a corrupted frame is rejected as a whole")
 {
     std::mt19937_64 random(3);
-    std::size_t refused = 0;
+    std::size_t rejected = 0;
     std::size_t total = 0;
     for (const MembershipMessage &message : examples()) {
         const std::string frame = encodeMembership(message);
@@ -62,17 +62,18 @@
             CHECK_FALSE(decodeMembership(frame.substr(0, length)));
         CHECK_FALSE(decodeMembership(frame + '\0'));
         for (int i = 0; i < 300; ++i) {
-            std::string damaged = frame;
-            damaged[random() % damaged.size()] = static_cast<char>(random());
-            const auto decoded = decodeMembership(damaged);
+            std::string corrupted = frame;
+            corrupted[random() % corrupted.size()] = static_cast<char>(random());
+            const auto decoded = decodeMembership(corrupted);
             ++total;
-            refused += decoded ? 0 : 1;
+            rejected += decoded ? 0 : 1;
         }
     }
-    CHECK(refused * 4 > total); // the rest are other valid messages: a digit or letter changed
+    CHECK(rejected * 4
+          > total); // the rest decode as other valid messages: one digit or letter differs
 }
 
-TEST_CASE("frames out of bounds are refused before they cost anything")
+TEST_CASE("frames beyond the limits are rejected before they are decoded")
 {
     const std::string nested(60000, '\x81');
     const std::string longArray = "\x9b\x7f\xff\xff\xff\xff\xff\xff\xff";
--- a/modules/membership/messages/MembershipMessages.h
+++ b/modules/membership/messages/MembershipMessages.h
@@ -10,25 +10,25 @@
 
 namespace cuminrail {
 
-/** What every message says of its sender. */
+/** State of the sender, included in every message. */
 struct MessageSender
 {
     MemberRecord self;
     SettingsDigest settings;
-    /** Hash of the sender's table of members. @see MemberTable::hash */
+    /** Hash of the sender's member table. @see MemberTable::hash */
     std::uint64_t tableHash = 0;
     /** Hash of the sender's facts. @see FactStore::hash */
     std::uint64_t factsHash = 0;
 };
 
-/** News that rides along with another message. */
+/** Updates piggybacked on a message. */
 struct Gossip
 {
     std::vector<MemberRecord> members;
     std::vector<UrgentFact> facts;
 };
 
-/** "Do you answer?" */
+/** Probes the receiver, which replies with an AckMessage. */
 struct PingMessage
 {
     MessageSender sender;
@@ -36,18 +36,18 @@
     Gossip gossip;
 };
 
-/** The answer to a ping, or to a PingRequest when its target answered. */
+/** The reply to a PingMessage, or to a PingRequestMessage if the target responded. */
 struct AckMessage
 {
     MessageSender sender;
-    /** The sequence of the ping or request that is answered. */
+    /** The sequence of the ping or ping request that this replies to. */
     std::uint64_t sequence = 0;
-    /** The member that answered: the sender, or the target of a PingRequest. */
-    InstanceId answering;
+    /** The member that responded: the sender, or the target of a ping request. */
+    InstanceId responder;
     Gossip gossip;
 };
 
-/** "I get no answer from the target; do you?" */
+/** Asks the receiver to probe a target that does not respond to the sender. */
 struct PingRequestMessage
 {
     MessageSender sender;
@@ -55,30 +55,33 @@
     InstanceId target;
 };
 
-/** One line of a table summary. */
-struct TableLine
+/** One entry of a table summary. */
+struct TableSummaryEntry
 {
     std::uint64_t idHash = 0;
     std::uint64_t recordHash = 0;
 };
 
-/** "This is what I know; tell me what differs." A newcomer's summary is empty. */
+/**
+    Asks for the records that differ from the sender's table summary. A new instance sends an empty
+    summary.
+*/
 struct SyncRequestMessage
 {
     MessageSender sender;
-    std::vector<TableLine> lines;
-    /** False when the sender's facts are the same as the receiver's. */
+    std::vector<TableSummaryEntry> entries;
+    /** False if the sender's facts are the same as the receiver's. */
     bool wantsFacts = true;
 };
 
-/** What differs from the summary of a SyncRequest. */
+/** The records that differ from the summary of a SyncRequestMessage. */
 struct SyncReplyMessage
 {
     MessageSender sender;
     Gossip gossip;
 };
 
-/** Facts and news that go on at once instead of riding along. */
+/** Facts and updates that are sent immediately instead of being piggybacked. */
 struct UrgentMessage
 {
     MessageSender sender;
@@ -88,12 +91,12 @@
 using MembershipMessage = std::variant<PingMessage, AckMessage, PingRequestMessage,
                                        SyncRequestMessage, SyncReplyMessage, UrgentMessage>;
 
-/** Bounds on what one message holds. */
+/** Limits for one message. */
 struct MembershipLimits
 {
     static constexpr std::size_t records = 400;
     static constexpr std::size_t facts = 400;
-    static constexpr std::size_t lines = 2000;
+    static constexpr std::size_t entries = 2000;
     static constexpr std::size_t name = 64;
     static constexpr std::size_t address = 64;
     static constexpr std::size_t subject = 64;
--- a/modules/membership/model/Member.h
+++ b/modules/membership/model/Member.h
@@ -10,12 +10,17 @@
 
 namespace cuminrail {
 
-/** What is believed of another instance, in the order in which news overrides older news. */
+/**
+    The assumed state of another instance; within an incarnation a later value overrides an earlier
+    one.
+*/
 enum class MemberStatus : std::uint8_t {
     Alive,
-    /** It did not answer, directly or through others; it may still refute that. */
+    /** It responded neither directly nor to indirect probes; it may still refute the suspicion. */
     Suspect,
-    /** Its silence was confirmed, or it left; it gets no messages but an occasional probe. */
+    /**
+        The suspicion timed out, or it left; it receives nothing but an occasional contact attempt.
+    */
     Dead,
 };
 
@@ -25,40 +30,46 @@
     {MemberStatus::Dead, "dead"},
 }}};
 
-/** One instance as its peers tell of it. */
+/** The state of one instance as exchanged between members. */
 struct MemberRecord
 {
     InstanceId id;
-    /** Distinguishes two lives of one name; the later one is greater. */
+    /**
+        Distinguishes two processes that run under the same name one after the other; the later one
+        is greater.
+    */
     Incarnation incarnation = 0;
-    /** Raised by the member itself, within one life, to refute a suspicion. */
+    /** Raised by the member itself, within one incarnation, to refute a suspicion. */
     std::uint64_t refutation = 0;
     MemberStatus status = MemberStatus::Alive;
-    /** Once true it stays true for this incarnation. */
+    /** Never reset to false within an incarnation. */
     bool leaving = false;
     FailureDomainId domain;
     RegionId region;
     PeerAddress address;
 };
 
-/** What an instance says of how current it is, with every message. */
+/** How current an instance's settings are; included in every message. */
 struct SettingsDigest
 {
     /** The store's version of the settings head in force; 0 for none. */
     std::uint64_t headVersion = 0;
-    /** How long ago the store was last known to have this head: a span, at the time of sending. */
+    /** Time since the store was last known to have this head, as of sending. */
     Millis confirmedAge = Millis::never();
 };
 
-/** One member as the rest of the instance sees it. */
+/** A member as the other modules of the instance see it. */
 struct MemberView
 {
     MemberRecord record;
-    /** Silent for long, but kept, because too many are silent at once to believe it of them. */
+    /**
+        Unresponsive for longer than the suspicion timeout, but kept because too many members of its
+        region are unresponsive at once.
+    */
     bool unreachable = false;
     SettingsDigest settings;
 
-    /** Returns true for a member that may be given duties: it answers and is not leaving. */
+    /** Returns true if the member may be assigned duties: it responds and is not leaving. */
     bool isUsable() const
     {
         return record.status == MemberStatus::Alive && !record.leaving && !unreachable;
--- a/modules/membership/model/MemberTable.cpp
+++ b/modules/membership/model/MemberTable.cpp
@@ -9,77 +9,77 @@
 
 namespace {
 
-/** Returns true when news of the same life overrides what is known of the member's silence. */
-bool overrides(const MemberRecord &news, const MemberRecord &known)
+/** Returns true if an update about the same incarnation overrides the known status. */
+bool overrides(const MemberRecord &update, const MemberRecord &known)
 {
-    if (news.refutation != known.refutation)
-        return news.refutation > known.refutation;
-    return news.status > known.status;
+    if (update.refutation != known.refutation)
+        return update.refutation > known.refutation;
+    return update.status > known.status;
 }
 
 } // namespace
 
-MergeResult MemberTable::merge(const MemberRecord &news, Millis now)
+MergeResult MemberTable::merge(const MemberRecord &update, Millis now)
 {
-    const auto found = entries_.find(news.id);
+    const auto found = entries_.find(update.id);
     if (found != entries_.end()) {
-        const MergeResult result = mergeKnown(found->second, news, now);
-        if (result == MergeResult::News)
-            count();
+        const MergeResult result = mergeKnown(found->second, update, now);
+        if (result == MergeResult::Changed)
+            updateCounts();
         return result;
     }
     if (entries_.size() >= maxMembers)
-        return MergeResult::Old;
+        return MergeResult::Unchanged;
     MemberEntry entry;
-    entry.record = news;
-    noteStatusTimes(entry, now);
-    entries_.emplace(news.id, std::move(entry));
-    count();
-    return MergeResult::News;
+    entry.record = update;
+    updateStatusTimes(entry, now);
+    entries_.emplace(update.id, std::move(entry));
+    updateCounts();
+    return MergeResult::Changed;
 }
 
-MergeResult MemberTable::mergeKnown(MemberEntry &entry, const MemberRecord &news, Millis now)
+MergeResult MemberTable::mergeKnown(MemberEntry &entry, const MemberRecord &update, Millis now)
 {
     MemberRecord &known = entry.record;
-    if (news.incarnation < known.incarnation)
-        return MergeResult::Old;
-    if (news.incarnation > known.incarnation) {
-        known = news;
+    if (update.incarnation < known.incarnation)
+        return MergeResult::Unchanged;
+    if (update.incarnation > known.incarnation) {
+        known = update;
         entry.unreachable = false;
         entry.settings = SettingsDigest();
-        noteStatusTimes(entry, now);
-        return MergeResult::News;
+        updateStatusTimes(entry, now);
+        return MergeResult::Changed;
     }
-    // An instance that is stopping refutes a suspicion, or an old message of its arrives late. If
-    // that took "leaving" back, peers would hand it duties that it is about to drop.
+    // A stopping instance may still refute a suspicion, or a delayed message of it may arrive. If
+    // that reset "leaving", peers would assign it duties that it is about to drop.
     const bool wasLeaving = guardEnabled(Guard::MemberLeavingSticky) && known.leaving;
-    const bool isLeaving = wasLeaving || news.leaving;
-    MergeResult result = isLeaving != known.leaving ? MergeResult::News : MergeResult::Old;
-    if (overrides(news, known)) {
-        known = news;
-        noteStatusTimes(entry, now);
-        result = MergeResult::News;
+    const bool isLeaving = wasLeaving || update.leaving;
+    MergeResult result = isLeaving != known.leaving ? MergeResult::Changed : MergeResult::Unchanged;
+    if (overrides(update, known)) {
+        known = update;
+        updateStatusTimes(entry, now);
+        result = MergeResult::Changed;
     }
     known.leaving = isLeaving;
     return result;
 }
 
-void MemberTable::noteStatusTimes(MemberEntry &entry, Millis now)
+void MemberTable::updateStatusTimes(MemberEntry &entry, Millis now)
 {
     const MemberStatus status = entry.record.status;
     if (status == MemberStatus::Alive)
         entry.unreachable = false;
     if (status != MemberStatus::Suspect)
-        entry.suspectSince = Millis::never();
+        entry.suspectedAt = Millis::never();
     else
-        entry.suspectSince = std::min(entry.suspectSince, now);
-    entry.deadSince = status == MemberStatus::Dead ? now : Millis::never();
+        entry.suspectedAt = std::min(entry.suspectedAt, now);
+    entry.deadAt = status == MemberStatus::Dead ? now : Millis::never();
 }
 
-void MemberTable::forgetDead(Millis now, Millis after)
+void MemberTable::removeDead(Millis now, Millis retention)
 {
     for (auto entry = entries_.begin(); entry != entries_.end();) {
-        const bool isOld = entry->second.deadSince + after <= now;
+        const bool isOld = entry->second.deadAt + retention <= now;
         entry = isOld ? entries_.erase(entry) : std::next(entry);
     }
 }
@@ -118,7 +118,7 @@
     return ids;
 }
 
-void MemberTable::count()
+void MemberTable::updateCounts()
 {
     livingCount_ = 0;
     suspectCount_ = 0;
--- a/modules/membership/model/MemberTable.h
+++ b/modules/membership/model/MemberTable.h
@@ -10,73 +10,83 @@
 
 namespace cuminrail {
 
-/** What became of a piece of news. */
+/** The effect of merging an update. */
 enum class MergeResult : std::uint8_t {
-    /** Nothing new: known, or overridden by what is known. */
-    Old,
-    /** Changed what is known: pass it on. */
-    News,
+    /** The update was already known, or is overridden by the known state. */
+    Unchanged,
+    /** The update changed the known state and has to be forwarded. */
+    Changed,
 };
 
-/** A member with what is known of it here alone. */
+/** A member with its local state, which is not exchanged. */
 struct MemberEntry
 {
     MemberRecord record;
-    /** When its silence was first told, by this instance's clock; never() when it answers. */
-    Millis suspectSince = Millis::never();
-    /** When it was declared dead; its entry is kept for a while so that old news cannot revive it.
-     */
-    Millis deadSince = Millis::never();
+    /**
+        When the suspicion was first received, by this instance's clock; never() unless it is
+        suspected.
+    */
+    Millis suspectedAt = Millis::never();
+    /**
+        When it was declared dead. The entry is retained for a while so that outdated updates cannot
+        revive the member.
+    */
+    Millis deadAt = Millis::never();
     bool unreachable = false;
     SettingsDigest settings;
 };
 
 /**
-    All members, and how news of them is merged.
+    All members, and the rules by which updates are merged.
 
-    Merging is idempotent and independent of the order in which news arrives: a later incarnation
-    overrides an earlier one; within one, a higher refutation, then the worse status; leaving is
-    never taken back. So all tables that have heard the same news are equal, and their hashes too.
+    Merging is idempotent and independent of the order in which updates arrive: a later incarnation
+    overrides an earlier one; within an incarnation a higher refutation wins, then the worse status;
+    leaving is never reset. Tables that received the same updates are therefore equal, and so are
+    their hashes.
 */
 class MemberTable
 {
 public:
-    /** No more members than this are kept; strangers could not, and a mistake must not, fill it. */
+    /**
+        Maximum number of members. Unauthenticated senders cannot add any; this limit prevents that
+        a faulty peer fills the memory.
+    */
     static constexpr std::size_t maxMembers = 4096;
 
-    /** Takes one piece of news. A record about a member that is not known adds it. */
-    MergeResult merge(const MemberRecord &news, Millis now);
+    /** Merges an update. A record of an unknown member adds it. */
+    MergeResult merge(const MemberRecord &update, Millis now);
 
-    /** Removes members that have been dead for longer than a span. */
-    void forgetDead(Millis now, Millis after);
+    /** Removes members that have been dead for at least the given duration. */
+    void removeDead(Millis now, Millis retention);
 
     const MemberEntry *find(const InstanceId &id) const;
     MemberEntry *find(const InstanceId &id);
     const std::map<InstanceId, MemberEntry> &entries() const { return entries_; }
 
-    /** Returns the ids of all that are not dead, in order of name. */
+    /** Returns the ids of all members that are not dead, in order of name. */
     std::vector<InstanceId> livingIds() const;
 
-    /** Returns the ids of all that are suspected. */
+    /** Returns the ids of all suspected members. */
     std::vector<InstanceId> suspects() const;
 
-    /** Returns how many are not dead. */
+    /** Returns the number of members that are not dead. */
     std::size_t livingCount() const { return livingCount_; }
 
     /**
-        Returns a hash over all members that are not dead, for comparing tables with a peer.
+        Returns a hash of all members that are not dead, for comparison with a peer's table.
 
-        Suspicions are left out: they come and go, and comparing them would never settle.
+        Suspicions are excluded: they change often, so tables that included them would never
+        converge.
     */
     std::uint64_t hash() const;
 
-    /** Returns a hash of what one record says, suspicion left out. */
+    /** Returns a hash of one record without its suspicion. */
     static std::uint64_t hash(const MemberRecord &record);
 
 private:
-    MergeResult mergeKnown(MemberEntry &entry, const MemberRecord &news, Millis now);
-    static void noteStatusTimes(MemberEntry &entry, Millis now);
-    void count();
+    MergeResult mergeKnown(MemberEntry &entry, const MemberRecord &update, Millis now);
+    static void updateStatusTimes(MemberEntry &entry, Millis now);
+    void updateCounts();
 
     std::map<InstanceId, MemberEntry> entries_;
     std::size_t livingCount_ = 0;
--- a/modules/membership/model/MemberTable_test.cpp
+++ b/modules/membership/model/MemberTable_test.cpp
@@ -28,7 +28,7 @@
 {
     const char *name;
     MemberRecord known;
-    MemberRecord news;
+    MemberRecord update;
     MergeResult result;
     MemberStatus status;
     bool leaving;
@@ -36,59 +36,59 @@
 
 } // namespace
 
-TEST_CASE("news of a member overrides what is known only when it is newer")
+TEST_CASE("an update overrides the known state only if it is newer")
 {
     using S = MemberStatus;
     const MergeRow rows[] = {
-        {"the same again", record(1, 0, S::Alive), record(1, 0, S::Alive), MergeResult::Old,
-         S::Alive, false},
-        {"a suspicion", record(1, 0, S::Alive), record(1, 0, S::Suspect), MergeResult::News,
+        {"the same record again", record(1, 0, S::Alive), record(1, 0, S::Alive),
+         MergeResult::Unchanged, S::Alive, false},
+        {"a suspicion", record(1, 0, S::Alive), record(1, 0, S::Suspect), MergeResult::Changed,
          S::Suspect, false},
-        {"alive does not undo a suspicion", record(1, 0, S::Suspect), record(1, 0, S::Alive),
-         MergeResult::Old, S::Suspect, false},
-        {"a refutation does", record(1, 0, S::Suspect), record(1, 1, S::Alive), MergeResult::News,
-         S::Alive, false},
-        {"a refutation brings back one declared dead", record(1, 0, S::Dead),
-         record(1, 1, S::Alive), MergeResult::News, S::Alive, false},
-        {"an old suspicion after the refutation", record(1, 1, S::Alive), record(1, 0, S::Dead),
-         MergeResult::Old, S::Alive, false},
-        {"leaving", record(1, 0, S::Alive), record(1, 0, S::Alive, true), MergeResult::News,
+        {"alive does not revoke a suspicion", record(1, 0, S::Suspect), record(1, 0, S::Alive),
+         MergeResult::Unchanged, S::Suspect, false},
+        {"a refutation revokes a suspicion", record(1, 0, S::Suspect), record(1, 1, S::Alive),
+         MergeResult::Changed, S::Alive, false},
+        {"a refutation revives a member declared dead", record(1, 0, S::Dead),
+         record(1, 1, S::Alive), MergeResult::Changed, S::Alive, false},
+        {"an outdated dead record after the refutation", record(1, 1, S::Alive),
+         record(1, 0, S::Dead), MergeResult::Unchanged, S::Alive, false},
+        {"leaving", record(1, 0, S::Alive), record(1, 0, S::Alive, true), MergeResult::Changed,
          S::Alive, true},
-        {"leaving stays through a refutation", record(1, 0, S::Alive, true), record(1, 5, S::Alive),
-         MergeResult::News, S::Alive, true},
-        {"the next life is not leaving", record(1, 9, S::Dead, true), record(2, 0, S::Alive),
-         MergeResult::News, S::Alive, false},
-        {"news of a former life", record(2, 0, S::Alive), record(1, 9, S::Dead, true),
-         MergeResult::Old, S::Alive, false},
+        {"leaving is kept through a refutation", record(1, 0, S::Alive, true),
+         record(1, 5, S::Alive), MergeResult::Changed, S::Alive, true},
+        {"the next incarnation is not leaving", record(1, 9, S::Dead, true), record(2, 0, S::Alive),
+         MergeResult::Changed, S::Alive, false},
+        {"an update about a previous incarnation", record(2, 0, S::Alive),
+         record(1, 9, S::Dead, true), MergeResult::Unchanged, S::Alive, false},
     };
     for (const MergeRow &row : rows) {
         INFO(row.name);
         MemberTable table;
         table.merge(row.known, Millis(0));
-        CHECK(table.merge(row.news, Millis(1)) == row.result);
+        CHECK(table.merge(row.update, Millis(1)) == row.result);
         CHECK(table.find(InstanceId("a"))->record.status == row.status);
         CHECK(table.find(InstanceId("a"))->record.leaving == row.leaving);
     }
 }
 
-// Gossip arrives in any order and more than once. Were the outcome to depend on that, two
-// instances would disagree for ever on who is there.
-TEST_CASE("tables that heard the same news in any order are equal")
+// Gossip arrives in any order and more than once. If the result depended on the order, two
+// instances would permanently disagree about the members.
+TEST_CASE("tables that received the same updates in any order are equal")
 {
     std::mt19937_64 random(7);
     for (int round = 0; round < 200; ++round) {
-        std::vector<MemberRecord> news;
-        news.reserve(12);
+        std::vector<MemberRecord> updates;
+        updates.reserve(12);
         for (int i = 0; i < 12; ++i)
-            news.push_back(record(1 + random() % 2, random() % 3, MemberStatus(random() % 3),
-                                  random() % 4 == 0));
+            updates.push_back(record(1 + random() % 2, random() % 3, MemberStatus(random() % 3),
+                                     random() % 4 == 0));
         MemberTable left;
         MemberTable right;
-        for (const MemberRecord &piece : news)
-            left.merge(piece, Millis(0));
-        std::shuffle(news.begin(), news.end(), random);
-        for (const MemberRecord &piece : news)
-            right.merge(piece, Millis(0));
+        for (const MemberRecord &update : updates)
+            left.merge(update, Millis(0));
+        std::shuffle(updates.begin(), updates.end(), random);
+        for (const MemberRecord &update : updates)
+            right.merge(update, Millis(0));
         const MemberRecord &a = left.find(InstanceId("a"))->record;
         const MemberRecord &b = right.find(InstanceId("a"))->record;
         CHECK(left.hash() == right.hash());
@@ -97,7 +97,7 @@
     }
 }
 
-TEST_CASE("a table takes no more members than its bound")
+TEST_CASE("a table holds at most its maximum number of members")
 {
     MemberTable table;
     for (std::size_t i = 0; i < MemberTable::maxMembers + 10; ++i) {
@@ -108,23 +108,23 @@
     CHECK(table.livingCount() == MemberTable::maxMembers);
 }
 
-TEST_CASE("every member has as many that probe it as it probes")
+TEST_CASE("every member is probed by as many members as it probes")
 {
     for (const std::size_t size : {1U, 2U, 3U, 6U, 24U, 370U}) {
         INFO(size);
         std::vector<InstanceId> ids;
         for (std::size_t i = 0; i < size; ++i)
             ids.emplace_back("i" + std::to_string(i));
-        std::map<InstanceId, std::size_t> watchedBy;
+        std::map<InstanceId, std::size_t> probedBy;
         for (const InstanceId &self : ids) {
             NeighbourRing ring;
             ring.rebuild(self, ids);
             for (const InstanceId &neighbour : ring.neighbours())
-                ++watchedBy[neighbour];
+                ++probedBy[neighbour];
             CHECK(ring.neighbours().size() <= 9);
-            CHECK(ring.neighbours().size() == ring.watchers().size());
+            CHECK(ring.neighbours().size() == ring.reverseNeighbours().size());
         }
         for (const InstanceId &id : ids)
-            CHECK(watchedBy[id] == (size == 1 ? 0 : watchedBy[ids[0]]));
+            CHECK(probedBy[id] == (size == 1 ? 0 : probedBy[ids[0]]));
     }
 }
--- a/modules/membership/ring/NeighbourRing.cpp
+++ b/modules/membership/ring/NeighbourRing.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-using RingPlace = std::pair<std::uint64_t, InstanceId>;
+using RingPosition = std::pair<std::uint64_t, InstanceId>;
 
-RingPlace placeOf(const InstanceId &id)
+RingPosition positionOf(const InstanceId &id)
 {
     return {StableHash().add(id.text()).value(), id};
 }
@@ -27,22 +27,22 @@
 
 void NeighbourRing::rebuild(const InstanceId &self, const std::vector<InstanceId> &members)
 {
-    std::vector<RingPlace> ring;
+    std::vector<RingPosition> ring;
     ring.reserve(members.size() + 1);
     for (const InstanceId &member : members)
-        ring.push_back(placeOf(member));
-    ring.push_back(placeOf(self));
+        ring.push_back(positionOf(member));
+    ring.push_back(positionOf(self));
     std::sort(ring.begin(), ring.end());
     ring.erase(std::unique(ring.begin(), ring.end()), ring.end());
 
     neighbours_.clear();
-    watchers_.clear();
+    reverseNeighbours_.clear();
     const std::size_t size = ring.size();
-    const auto own = std::lower_bound(ring.begin(), ring.end(), placeOf(self));
-    const auto place = static_cast<std::size_t>(own - ring.begin());
+    const auto own = std::lower_bound(ring.begin(), ring.end(), positionOf(self));
+    const auto position = static_cast<std::size_t>(own - ring.begin());
     for (std::size_t distance = 1; distance < size; distance *= 2) {
-        addOnce(neighbours_, ring[(place + distance) % size].second, self);
-        addOnce(watchers_, ring[(place + size - distance) % size].second, self);
+        addOnce(neighbours_, ring[(position + distance) % size].second, self);
+        addOnce(reverseNeighbours_, ring[(position + size - distance) % size].second, self);
     }
 }
 
--- a/modules/membership/ring/NeighbourRing.h
+++ b/modules/membership/ring/NeighbourRing.h
@@ -8,30 +8,33 @@
 namespace cuminrail {
 
 /**
-    Which members an instance probes: those 1, 2, 4, 8, … places after it on a ring ordered by the
-    hash of their names.
-
-    Every member has as many that probe it as it probes itself, the logarithm of the number of
-    members; with neighbours drawn at random some would have none. Links of doubling length make
-    any member reachable from any other in a logarithm of hops, so that news floods fast. A hash
-    order mixes failure domains, so that a domain that falls silent leaves every survivor with
-    other neighbours.
+    Selects the members that an instance probes: those at distances 1, 2, 4, 8, … after it on a ring
+    ordered by the hash of their names.
+
+    Every member is probed by as many members as it probes itself, the logarithm of the number of
+    members; with randomly drawn neighbours some would be probed by none. Because the distances
+    double, every member reaches any other in a logarithmic number of hops, so that updates
+    propagate fast. Ordering by hash mixes failure domains, so that the survivors of a lost domain
+    still have neighbours in others.
 */
 class NeighbourRing
 {
 public:
-    /** Rebuilds the ring from the members that are not dead; self may be among them or not. */
+    /** Rebuilds the ring from the members that are not dead; self may be among them. */
     void rebuild(const InstanceId &self, const std::vector<InstanceId> &members);
 
-    /** Returns the neighbours, nearest first, each once, without self. */
+    /** Returns the neighbours, nearest first, without duplicates and without self. */
     const std::vector<InstanceId> &neighbours() const { return neighbours_; }
 
-    /** Returns the members that have this instance as a neighbour: where news also goes. */
-    const std::vector<InstanceId> &watchers() const { return watchers_; }
+    /**
+        Returns the members that have this instance as a neighbour; urgent updates are sent to them
+        too.
+    */
+    const std::vector<InstanceId> &reverseNeighbours() const { return reverseNeighbours_; }
 
 private:
     std::vector<InstanceId> neighbours_;
-    std::vector<InstanceId> watchers_;
+    std::vector<InstanceId> reverseNeighbours_;
 };
 
 } // namespace cuminrail
