--- a/modules/configsync/ConfigSync.cpp
+++ b/modules/configsync/ConfigSync.cpp
@@ -26,17 +26,23 @@
                                std::move(onComplete)};
 }
 
-/** A head's text is stored under its own name, not under its hash; peers alone give it by hash. */
+/**
+    The store keeps a head's text under the path of the head, not under its hash, so only peers can
+    be queried for it by hash.
+*/
 ContentFetcherConfig peersOnly(ContentFetcherConfig config)
 {
     config.usesStore = false;
     return config;
 }
 
-/** A withdrawal is kept for instances that are this far behind; a later one takes the tree. */
-constexpr std::uint64_t kGenerationsToKeepFacts = 1000;
+/**
+    Withdrawal facts are kept this many generations, for instances that lag behind; one that lags
+    further fetches the whole tree.
+*/
+constexpr std::uint64_t kFactRetentionGenerations = 1000;
 
-/** Returns the hashes of all keys that open something. */
+/** Returns the hashes of all keys that are not withdrawn. */
 std::set<std::string> validKeys(const Settings &settings)
 {
     std::set<std::string> hashes;
@@ -60,7 +66,7 @@
       headFetcher_(
           peersOnly(config.fetcher),
           fetcherHooks(hooks_,
-                       [this] { considerHead(*contents_.find(offeredSha256_), offeredBy_); }),
+                       [this] { evaluateHead(*contents_.find(offeredSha256_), offeredBy_); }),
           membership.self().address, contents_),
       duty_(config.duty, membership.self()), freshness_(config.stalenessLimit),
       startedAt_(hooks_.clock.now())
@@ -69,8 +75,8 @@
 void ConfigSync::tick()
 {
     const Millis now = hooks_.clock.now();
-    if (membersAreOld_) {
-        membersAreOld_ = false;
+    if (membersAreStale_) {
+        membersAreStale_ = false;
         duty_.setMembers(membership_.members());
     }
     watchStore(now);
@@ -79,7 +85,7 @@
     if (candidate_ && fetcher_.isComplete())
         putInForceIfComplete();
     refresh(now);
-    reportFreshness(now);
+    emitFreshnessChange(now);
 }
 
 void ConfigSync::watchStore(Millis now)
@@ -95,21 +101,21 @@
     watcher_.tick(isOnDuty);
 }
 
-// Word of the store's state travels with probes, and may take a few seconds through many hands.
-// Asking a watcher of the own domain directly keeps the age well below the limit.
+// Confirmations of the store propagate with probes, which may take several hops and a few seconds.
+// Probing a watcher of its own domain directly keeps the confirmed age well below the limit.
 void ConfigSync::refresh(Millis now)
 {
     const auto &watchers = duty_.watchers();
     if (isWatching_ || watchers.empty() || now < nextRefreshAt_
-        || freshness_.storeAge(now) < config_.refreshAfter)
+        || freshness_.storeAge(now) < config_.refreshAge)
         return;
-    // While the store is out for all, asking as often would be of no use.
-    const bool isOutForLong = freshness_.storeAge(now) > config_.stalenessLimit * 2;
-    nextRefreshAt_ = now + config_.refreshPeriod * (isOutForLong ? 4 : 1);
+    // During an outage of the store for all instances, probing at the full rate would not help.
+    const bool isLongOutage = freshness_.storeAge(now) > config_.stalenessLimit * 2;
+    nextRefreshAt_ = now + config_.refreshPeriod * (isLongOutage ? 4 : 1);
     membership_.probe(now, watchers[hooks_.random() % watchers.size()]);
 }
 
-void ConfigSync::reportFreshness(Millis now)
+void ConfigSync::emitFreshnessChange(Millis now)
 {
     const FreshnessReport report = freshness(now);
     if (settings_ == nullptr || report.mayServe == wasServing_)
@@ -136,26 +142,26 @@
 void ConfigSync::onPeerDigest(const PeerDigest &digest)
 {
     const Millis now = hooks_.clock.now();
-    const std::uint64_t theirs = digest.settings.headVersion;
+    const std::uint64_t peerGeneration = digest.settings.headVersion;
     if (digest.querySentAt) {
-        hasPeerAnswered_ = true;
-        newestAtPeers_ = std::max(newestAtPeers_, theirs);
+        hasPeerReplied_ = true;
+        newestPeerGeneration_ = std::max(newestPeerGeneration_, peerGeneration);
     }
-    if (theirs != 0 && theirs <= inForce_.generation && digest.querySentAt)
+    if (peerGeneration != 0 && peerGeneration <= inForce_.generation && digest.querySentAt)
         freshness_.confirmByPeer(*digest.querySentAt, digest.settings.confirmedAge);
-    if (candidate_ && theirs >= candidate_->generation)
+    if (candidate_ && peerGeneration >= candidate_->generation)
         fetcher_.addSource(digest.address);
     const std::uint64_t known = candidate_ ? candidate_->generation : inForce_.generation;
-    if (theirs > known && theirs > refusedGeneration_)
-        askForHead(now, theirs, digest.address);
+    if (peerGeneration > known && peerGeneration > refusedGeneration_)
+        requestHead(now, peerGeneration, digest.address);
 }
 
-void ConfigSync::askForHead(Millis now, std::uint64_t generation, const PeerAddress &peer)
+void ConfigSync::requestHead(Millis now, std::uint64_t generation, const PeerAddress &peer)
 {
-    if (now < nextHeadRequestAt_ && generation <= askedForGeneration_)
+    if (now < nextHeadRequestAt_ && generation <= requestedGeneration_)
         return;
-    nextHeadRequestAt_ = now + config_.headRetry;
-    askedForGeneration_ = generation;
+    nextHeadRequestAt_ = now + config_.headRetryInterval;
+    requestedGeneration_ = generation;
     hooks_.transport.send(peer, encodeConfig(HeadRequestMessage{membership_.self().address}));
 }
 
@@ -183,11 +189,11 @@
 {
     if (const auto head = SettingsHead::fromText(text))
         storeGeneration_ = head->generation;
-    considerHead(text, std::nullopt);
+    evaluateHead(text, std::nullopt);
 }
 
-// An answer "nothing newer" is about what the store showed last, which may still be on its way
-// here, or be older than what is in force when the store's answer lags.
+// "Nothing newer" refers to the head that the store returned last. That head may still be on its
+// way here, or be older than the one in force if the store's reply is outdated.
 void ConfigSync::onStoreConfirmed(Millis querySentAt)
 {
     const bool isInForce = storeGeneration_ == inForce_.generation;
@@ -196,15 +202,15 @@
         freshness_.confirmByStore(querySentAt);
 }
 
-void ConfigSync::considerHead(const std::string &text, const std::optional<PeerAddress> &source)
+void ConfigSync::evaluateHead(const std::string &text, const std::optional<PeerAddress> &source)
 {
-    Reason problem;
-    const auto head = SettingsHead::fromText(text, &problem);
+    Reason parseError;
+    const auto head = SettingsHead::fromText(text, &parseError);
     if (!head) {
-        refuse(SettingsHead(), problem.toString());
+        refuse(SettingsHead(), parseError.toString());
         return;
     }
-    if (!mayFollow(*head))
+    if (!mayReplaceCurrent(*head))
         return;
     candidate_ = head;
     candidateSha256_ = contents_.add(text);
@@ -214,18 +220,18 @@
     std::vector<std::string> hashes;
     for (const auto &subtree : head->subtrees)
         hashes.push_back(subtree.second);
-    fetcher_.want(hashes);
+    fetcher_.setWanted(hashes);
     if (fetcher_.isComplete())
         putInForceIfComplete();
 }
 
-bool ConfigSync::mayFollow(const SettingsHead &head)
+bool ConfigSync::mayReplaceCurrent(const SettingsHead &head)
 {
     const std::uint64_t known = candidate_ ? candidate_->generation : inForce_.generation;
     if (head.generation > known)
         return head.generation > refusedGeneration_;
-    // A read that lags, or a peer or store that was put back, offers what was in force before.
-    // Taking it would make withdrawn keys work again.
+    // A lagging read, or a peer or store restored from a backup, offers a head that was in force
+    // before. Accepting it would make withdrawn keys valid again.
     if (guardEnabled(Guard::VersionOnlyForward)) {
         if (head.generation < inForce_.generation)
             hooks_.events(Event{&events::configurationWouldRevert,
@@ -236,20 +242,21 @@
     return head.generation != inForce_.generation;
 }
 
-// The store may answer a first read from a copy that lags, so that a restarted instance would put
-// settings in force that are older than those it had before. A peer that answered knows better.
-bool ConfigSync::mayTrustFirst(const SettingsHead &head, Millis now) const
+// The store may serve a first read from a lagging replica, so that a restarted instance would put
+// older settings in force than it had before. A reply from a peer shows whether there are newer
+// ones.
+bool ConfigSync::mayPutFirstInForce(const SettingsHead &head, Millis now) const
 {
     if (settings_ != nullptr || !config_.expectsPeers || !guardEnabled(Guard::NewestBeforeFirst))
         return true;
-    if (now >= startedAt_ + config_.startPatience)
+    if (now >= startedAt_ + config_.firstPeerTimeout)
         return true;
-    return hasPeerAnswered_ && head.generation >= newestAtPeers_;
+    return hasPeerReplied_ && head.generation >= newestPeerGeneration_;
 }
 
 void ConfigSync::putInForceIfComplete()
 {
-    if (!candidate_ || !mayTrustFirst(*candidate_, hooks_.clock.now()))
+    if (!candidate_ || !mayPutFirstInForce(*candidate_, hooks_.clock.now()))
         return;
     SettingsSubtrees subtrees;
     for (const auto &subtree : candidate_->subtrees) {
@@ -272,7 +279,7 @@
 
 void ConfigSync::putInForce(const SettingsHead &head, std::shared_ptr<const Settings> settings)
 {
-    const std::shared_ptr<const Settings> before = std::exchange(settings_, std::move(settings));
+    const std::shared_ptr<const Settings> previous = std::exchange(settings_, std::move(settings));
     inForce_ = head;
     inForceSha256_ = candidateSha256_;
     std::set<std::string> used{inForceSha256_};
@@ -282,21 +289,21 @@
     hooks_.events(
         Event{&events::configurationInForce, {{"generation", std::to_string(head.generation)}}});
     hooks_.onSettings(settings_);
-    if (before != nullptr)
-        announceWithdrawals(*before, *settings_);
+    if (previous != nullptr)
+        announceWithdrawals(*previous, *settings_);
     membership_.removeFacts([&](const UrgentFact &fact) {
         return fact.kind == UrgentFactKind::KeyWithdrawn
-            && fact.number + kGenerationsToKeepFacts <= head.generation;
+            && fact.number + kFactRetentionGenerations <= head.generation;
     });
     membership_.announceDigest(hooks_.clock.now());
 }
 
-// The settings themselves reach everybody soon after; but a key's withdrawal must not wait for an
-// instance that is still fetching or that refuses the new tree.
-void ConfigSync::announceWithdrawals(const Settings &before, const Settings &after)
+// The settings themselves reach all instances soon afterwards, but the withdrawal of a key must not
+// wait for an instance that is still fetching the new tree or refuses it.
+void ConfigSync::announceWithdrawals(const Settings &previous, const Settings &current)
 {
-    const std::set<std::string> stillValid = validKeys(after);
-    for (const std::string &hash : validKeys(before)) {
+    const std::set<std::string> stillValid = validKeys(current);
+    for (const std::string &hash : validKeys(previous)) {
         if (stillValid.count(hash) == 0)
             membership_.broadcast(
                 hooks_.clock.now(),
@@ -304,13 +311,13 @@
     }
 }
 
-void ConfigSync::refuse(const SettingsHead &head, const std::string &why)
+void ConfigSync::refuse(const SettingsHead &head, const std::string &reason)
 {
     refusedGeneration_ = std::max(refusedGeneration_, head.generation);
     hooks_.events(Event{&events::configurationRefused,
                         {{"generation", std::to_string(head.generation)},
                          {"in_force", std::to_string(inForce_.generation)},
-                         {"reason", why}}});
+                         {"reason", reason}}});
 }
 
 bool ConfigSync::receive(const std::string &frame)
@@ -342,7 +349,7 @@
     offeredBy_ = message.from;
     headFetcher_.clearSources();
     headFetcher_.addSource(message.from);
-    headFetcher_.want({message.sha256});
+    headFetcher_.setWanted({message.sha256});
 }
 
 void ConfigSync::handle(const ContentRequestMessage &message)
@@ -360,8 +367,8 @@
 
 void ConfigSync::handle(const ContentChunkMessage &message)
 {
-    headFetcher_.take(message);
-    fetcher_.take(message);
+    headFetcher_.handleChunk(message);
+    fetcher_.handleChunk(message);
 }
 
 } // namespace cuminrail
--- a/modules/configsync/ConfigSync.h
+++ b/modules/configsync/ConfigSync.h
@@ -26,17 +26,23 @@
     HeadWatcherConfig watcher;
     WatchDutyConfig duty;
     ContentFetcherConfig fetcher;
-    /** From this age of the last confirmation on, requests are refused. @see Freshness */
+    /** Requests are refused if the last confirmation is older than this. @see Freshness */
     Millis stalenessLimit{5000};
-    /** From this age on a watcher of the own domain is asked out of turn. */
-    Millis refreshAfter{2000};
+    /**
+        If the last confirmation is older than this, a watcher of the same domain is probed outside
+        the regular schedule.
+    */
+    Millis refreshAge{2000};
     Millis refreshPeriod{1000};
-    /** How long a starting instance waits for a peer's word before it trusts the store alone. */
-    Millis startPatience{3000};
-    /** False for an instance without seeds: it waits for nobody. */
+    /**
+        How long a starting instance waits for the first reply of a peer before it accepts the
+        store's head without one.
+    */
+    Millis firstPeerTimeout{3000};
+    /** False for an instance without seeds, which waits for no peer. */
     bool expectsPeers = true;
-    /** How often a head is asked for again that a peer said it has. */
-    Millis headRetry{500};
+    /** Interval between requests for a head that a peer offers. */
+    Millis headRetryInterval{500};
 };
 
 struct ConfigSyncHooks
@@ -47,18 +53,18 @@
     RandomHook random;
     EventSink events;
     Sha256Hook sha256;
-    /** Other settings are in force; the pointer is never null. */
+    /** Other settings were put in force; the pointer is never null. */
     std::function<void(const std::shared_ptr<const Settings> &)> onSettings;
-    /** The set of keys that are withdrawn ahead of the settings changed. */
+    /** The set of keys withdrawn by a newer generation than the one in force changed. */
     std::function<void()> onWithdrawnChanged;
 };
 
 /**
-    One instance's part in bringing settings into force: a state machine in virtual time.
+    Configuration synchronisation of one instance: a state machine driven by the caller's clock.
 
     Runs on the control thread. The owner forwards Membership's hooks (onFact, onPeerDigest,
     onMembersChanged, settingsDigest) and the frames of FrameChannel::ConfigSync, and calls tick()
-    every 100 ms or so after Membership's.
+    about every 100 ms, after Membership's.
 
     @see docs/CONFIGURATION.md
 */
@@ -70,14 +76,14 @@
     ConfigSync &operator=(const ConfigSync &) = delete;
 
     void tick();
-    /** Takes a frame of FrameChannel::ConfigSync. Returns false when it was malformed. */
+    /** Handles a frame of FrameChannel::ConfigSync. Returns false if it was malformed. */
     bool receive(const std::string &frame);
 
-    // What Membership's hooks are to call.
+    // To be called by Membership's hooks.
     SettingsDigest digest(Millis now) const;
     void onFact(const UrgentFact &fact);
     void onPeerDigest(const PeerDigest &digest);
-    void onMembersChanged() { membersAreOld_ = true; }
+    void onMembersChanged() { membersAreStale_ = true; }
 
     /** Returns the generation in force, 0 for none. */
     std::uint64_t generation() const { return inForce_.generation; }
@@ -85,30 +91,30 @@
     const std::shared_ptr<const Settings> &settings() const { return settings_; }
     FreshnessReport freshness(Millis now) const;
     bool isWatching() const { return isWatching_; }
-    /** Returns the hashes of keys that are withdrawn by a newer generation than is in force. */
+    /** Returns the hashes of keys that a newer generation than the one in force withdraws. */
     std::set<std::string> withdrawnAhead() const;
     std::uint64_t malformedFrames() const { return malformedFrames_; }
 
 private:
     void watchStore(Millis now);
     void refresh(Millis now);
-    void reportFreshness(Millis now);
+    void emitFreshnessChange(Millis now);
 
     void onStoreHead(const std::string &text);
     void onStoreConfirmed(Millis querySentAt);
-    void considerHead(const std::string &text, const std::optional<PeerAddress> &source);
-    bool mayFollow(const SettingsHead &head);
+    void evaluateHead(const std::string &text, const std::optional<PeerAddress> &source);
+    bool mayReplaceCurrent(const SettingsHead &head);
     void putInForceIfComplete();
     void putInForce(const SettingsHead &head, std::shared_ptr<const Settings> settings);
-    bool mayTrustFirst(const SettingsHead &head, Millis now) const;
-    void announceWithdrawals(const Settings &before, const Settings &after);
-    void refuse(const SettingsHead &head, const std::string &why);
+    bool mayPutFirstInForce(const SettingsHead &head, Millis now) const;
+    void announceWithdrawals(const Settings &previous, const Settings &current);
+    void refuse(const SettingsHead &head, const std::string &reason);
 
     void handle(const HeadRequestMessage &message);
     void handle(const HeadReplyMessage &message);
     void handle(const ContentRequestMessage &message);
     void handle(const ContentChunkMessage &message);
-    void askForHead(Millis now, std::uint64_t generation, const PeerAddress &peer);
+    void requestHead(Millis now, std::uint64_t generation, const PeerAddress &peer);
 
     ConfigSyncConfig config_;
     ConfigSyncHooks hooks_;
@@ -126,22 +132,22 @@
     /** A newer head whose contents are being fetched. */
     std::optional<SettingsHead> candidate_;
     std::string candidateSha256_;
-    /** The hash of a head text that a peer offered and that is being fetched. */
+    /** Hash of the text of a head that a peer offered and that is being fetched. */
     std::string offeredSha256_;
     PeerAddress offeredBy_;
-    /** The newest generation that was refused here; it is not looked at again. */
+    /** The newest generation that was refused here; it is not evaluated again. */
     std::uint64_t refusedGeneration_ = 0;
-    /** The newest generation that any answering peer had, and whether one answered. */
-    std::uint64_t newestAtPeers_ = 0;
-    bool hasPeerAnswered_ = false;
+    /** The newest generation that a replying peer had, and whether any peer replied. */
+    std::uint64_t newestPeerGeneration_ = 0;
+    bool hasPeerReplied_ = false;
 
     Millis startedAt_;
     Millis nextRefreshAt_;
     Millis nextHeadRequestAt_;
-    std::uint64_t askedForGeneration_ = 0;
-    /** The generation that the store showed last. */
+    std::uint64_t requestedGeneration_ = 0;
+    /** The generation of the head that the store returned last. */
     std::uint64_t storeGeneration_ = 0;
-    bool membersAreOld_ = true;
+    bool membersAreStale_ = true;
     bool isWatching_ = false;
     bool wasServing_ = false;
     std::uint64_t malformedFrames_ = 0;
--- a/modules/configsync/ConfigSync_test.cpp
+++ b/modules/configsync/ConfigSync_test.cpp
@@ -35,7 +35,7 @@
     return count;
 }
 
-bool onlyRises(const std::vector<std::uint64_t> &generations)
+bool isStrictlyIncreasing(const std::vector<std::uint64_t> &generations)
 {
     return std::is_sorted(generations.begin(), generations.end())
         && std::adjacent_find(generations.begin(), generations.end()) == generations.end();
@@ -43,24 +43,24 @@
 
 } // namespace
 
-TEST_CASE("a change is in force everywhere within the second, at a bounded cost to the store")
+TEST_CASE("a change is in force on all instances within one second, with few calls to the store")
 {
     for (const std::size_t size : {2U, 6U, 24U}) {
         INFO(size);
-        const ConfigFigures figures = measureConfigSync(shapeOf(size));
-        CHECK(figures.inForceWorst < Millis(1000));
-        CHECK(figures.withdrawnWorst < Millis(1000));
-        CHECK(figures.ageWorst < Millis(4500));
-        CHECK(figures.watchers <= 3 * 6);
-        CHECK(figures.storeCallsPerSecond < 3 * 6 * 2);
-        CHECK(figures.refusedInOutage == 0);
-        CHECK(figures.worstReturnCallsPerSecond < 3 * 6 * 4);
+        const ConfigSyncMeasurement measurement = measureConfigSync(shapeOf(size));
+        CHECK(measurement.inForceWorst < Millis(1000));
+        CHECK(measurement.withdrawnWorst < Millis(1000));
+        CHECK(measurement.ageWorst < Millis(4500));
+        CHECK(measurement.watchers <= 3 * 6);
+        CHECK(measurement.storeCallsPerSecond < 3 * 6 * 2);
+        CHECK(measurement.refusedInOutage == 0);
+        CHECK(measurement.worstCallsPerSecondAfterOutage < 3 * 6 * 4);
     }
 }
 
-// A key is withdrawn while one instance has lost the store, but not its peers. Its caller must
-// be refused there too; the peers tell it.
-TEST_CASE("a withdrawn key stops at an instance that is cut off from the store")
+// A key is withdrawn while one instance has lost the store but not its peers. The withdrawal has to
+// reach it through them, or it would go on accepting the key.
+TEST_CASE("an instance cut off from the store refuses a withdrawn key")
 {
     ConfigCluster cluster(shapeOf(6));
     const std::string key = ConfigCluster::keyHash(1);
@@ -77,10 +77,11 @@
     CHECK_FALSE(cluster.accepts(4, key));
 }
 
-// An instance loses the store and all peers, its callers not. A key is withdrawn meanwhile. It
-// cannot know, and its caller would be served for as long as the cut lasts; so it refuses all
-// work from the limit on, says why, and goes on when it is back.
-TEST_CASE("an instance that can confirm its settings with nobody refuses work")
+// An instance loses the store and all peers, but not its callers, and a key is withdrawn meanwhile.
+// The instance cannot know this and would accept the key until it reconnects. It therefore has to
+// refuse all requests once the staleness limit is exceeded, emit an event with the reason, and
+// resume after reconnecting.
+TEST_CASE("an instance that cannot confirm its settings refuses requests")
 {
     ConfigCluster cluster(shapeOf(6));
     const std::string key = ConfigCluster::keyHash(1);
@@ -107,9 +108,10 @@
     CHECK_FALSE(cluster.accepts(3, key));
 }
 
-// A failure domain of two is cut off from the store and from the rest. The two still reach each
-// other. If it were enough that two agree, both would honour a withdrawn key for an hour.
-TEST_CASE("a minority that agrees with itself refuses work")
+// A failure domain of two instances is cut off from the store and from all other instances, but the
+// two reach each other. If agreement between the two were sufficient, both would accept a withdrawn
+// key for an hour.
+TEST_CASE("a minority of instances that agree with each other refuses requests")
 {
     ConfigCluster cluster(shapeOf(6));
     cluster.apply({}, {});
@@ -124,9 +126,11 @@
     CHECK(countServing(cluster) == 4);
 }
 
-// The store is out for everybody for an hour. Nothing can be withdrawn or changed, so traffic goes
-// on; when it is back the instances must not all ask it in the same second.
-TEST_CASE("an outage of the store for everybody stops no traffic and ends without a rush")
+// The store is unavailable to all instances for an hour. Nothing can be withdrawn or changed, so
+// requests must still be served. Afterwards the instances must not all call the store within the
+// same second.
+TEST_CASE(
+    "an outage of the store for all instances stops no requests and ends without a burst of calls")
 {
     ConfigCluster cluster(shapeOf(24));
     const std::uint64_t before = cluster.apply({}, {});
@@ -147,9 +151,9 @@
     CHECK(cluster.runUntilInForce(after, Millis::seconds(30)) < Millis::seconds(12));
 }
 
-// An instance is replaced while the store is out. It must not wait for the store: its peers have
-// the whole tree.
-TEST_CASE("an instance that starts while the store is out takes the tree from peers")
+// An instance is replacements during an outage of the store. It has to start without the store,
+// since its peers have the whole tree.
+TEST_CASE("an instance started during a store outage fetches the settings from peers")
 {
     ConfigCluster cluster(shapeOf(6));
     const std::uint64_t generation = cluster.apply({ConfigCluster::keyHash(1)}, {});
@@ -163,9 +167,9 @@
     CHECK(cluster.accepts(2, ConfigCluster::keyHash(1)));
 }
 
-// A restarted instance reads the store, and the answer comes from a copy that lags. Before its
-// restart it had newer settings in force; now a withdrawn key would work again there.
-TEST_CASE("a lagging read after a restart puts nothing older in force")
+// A restarted instance reads the store and gets a reply from a lagging replica. Before its restart
+// it had newer settings in force; with the older ones it would accept a withdrawn key again.
+TEST_CASE("a lagging read after a restart puts no older settings in force")
 {
     ConfigCluster cluster(shapeOf(6));
     const std::string key = ConfigCluster::keyHash(1);
@@ -175,7 +179,7 @@
     const std::uint64_t newest = cluster.apply({}, {key});
     cluster.runFor(Millis::seconds(5));
     cluster.store().setReadLag(VirtualCluster::idOf(1).text(), Millis::seconds(15));
-    // The store answers at once, the peers a second later.
+    // The store replies immediately, the peers one second later.
     cluster.instances().setConnected(1, false);
     cluster.start(1);
     cluster.runFor(Millis::seconds(1));
@@ -186,9 +190,9 @@
     CHECK_FALSE(cluster.accepts(1, key));
 }
 
-// The store is put back from a copy of yesterday, or a read of a running instance lags: the head
-// has a lower generation than is in force.
-TEST_CASE("an older head is refused while running, and an operator can see it")
+// The store is restored from an restored backup, or a read of a running instance lags: the head has
+// a lower generation than the one in force.
+TEST_CASE("a running instance refuses an older head and emits an event")
 {
     ConfigCluster cluster(shapeOf(3));
     cluster.apply({}, {});
@@ -199,18 +203,19 @@
     cluster.instances().at(0).events = [&](const Event &event) {
         refusals += event.kind == &events::configurationWouldRevert ? 1 : 0;
     };
-    SettingsHead old;
-    old.generation = 1;
-    old.token = "restored";
-    cluster.store().write(kSettingsHeadPath, old.toText());
+    SettingsHead restored;
+    restored.generation = 1;
+    restored.token = "restored";
+    cluster.store().write(kSettingsHeadPath, restored.toText());
     cluster.runFor(Millis::seconds(5));
     CHECK(refusals >= 1);
     CHECK(cluster.countInForce(2) == 3);
 }
 
-// Changes follow each other faster than they spread, and frames get lost. Each instance may skip
-// some, but must never show an earlier one after a later one, and must end at the last.
-TEST_CASE("versions only move forward through a burst of changes")
+// Changes follow each other faster than they propagate, and frames are lost. An instance may skip
+// generations, but must never put an older one in force after a newer one, and has to reach the
+// last.
+TEST_CASE("generations only increase during a burst of changes")
 {
     ClusterShape shape = shapeOf(24);
     shape.loss = 0.05;
@@ -225,12 +230,12 @@
     }
     CHECK(cluster.runUntilInForce(last, Millis::seconds(30)) < Millis::seconds(6));
     for (std::size_t i = 0; i < cluster.size(); ++i)
-        CHECK(onlyRises(cluster.history(i)));
+        CHECK(isStrictlyIncreasing(cluster.history(i)));
 }
 
-// An operator's tool of another version writes a tree that does not fit together here. The former
-// settings must stay in force as they are, and an event must say why.
-TEST_CASE("settings that are not valid here leave the former ones in force")
+// An operator's tool of another version writes a tree that is not valid here. The settings in force
+// have to stay unchanged, and an event has to contain the reason.
+TEST_CASE("invalid settings leave the previous ones in force")
 {
     ConfigCluster cluster(shapeOf(3));
     const std::uint64_t good = cluster.apply({ConfigCluster::keyHash(1)}, {});
@@ -250,15 +255,16 @@
     CHECK(cluster.runUntilInForce(next, Millis::seconds(10)) < Millis::seconds(3));
 }
 
-// A content in the store was damaged, or a peer sends another text than it was asked for. Taken
-// unseen, it could be valid JSON and open the wrong customer.
-TEST_CASE("a content with another hash than the head names is not taken")
+// A content in the store is corrupted, or a peer sends another text than requested. Without a check
+// it could be valid JSON and grant access to the wrong customer.
+TEST_CASE("a content with another hash than the one in the head is rejected")
 {
     ConfigCluster cluster(shapeOf(3));
     const std::uint64_t good = cluster.apply({}, {});
     cluster.startAll();
     cluster.runFor(Millis::seconds(20));
-    const std::string right = R"({"keys": [ ]})"; // spaces: not the text in force
+    const std::string right =
+        R"({"keys": [ ]})"; // the spaces make it differ from the text in force
     const std::string wrong =
         R"({"keys":[{"sha256":")" + ConfigCluster::keyHash(9) + R"(","customer":"c"}]})";
     SettingsHead head;
@@ -267,8 +273,8 @@
                                                 {"teams/t", R"({"customers":[{"id":"c"}]})"},
                                                 {"keys/t", right}}) {
         const std::string hash = virtualSha256(subtree.second);
-        const bool isDamaged = subtree.first == "keys/t";
-        cluster.store().write(settingsContentPath(hash), isDamaged ? wrong : subtree.second);
+        const bool isCorrupted = subtree.first == "keys/t";
+        cluster.store().write(settingsContentPath(hash), isCorrupted ? wrong : subtree.second);
         head.subtrees[subtree.first] = hash;
     }
     cluster.store().write(kSettingsHeadPath, head.toText());
@@ -280,19 +286,19 @@
 
 namespace {
 
-/** A head watcher over a store whose answers a test gives. */
-class WatcherBench
+/** A HeadWatcher with a store whose replies the test provides. */
+class HeadWatcherFixture
 {
 public:
-    using Ask = std::function<void(const StoreCompletion &)>;
+    using WatchHandler = std::function<void(const StoreCompletion &)>;
 
-    explicit WatcherBench(const Ask &onWatch)
+    explicit HeadWatcherFixture(const WatchHandler &onWatch)
     {
         HeadWatcherHooks hooks{ObjectStore(),
                                scheduler.clock(),
                                scheduler.random(),
                                [this](const Event &event) {
-                                   replaced += event.kind == &events::watchReplaced ? 1 : 0;
+                                   replacements += event.kind == &events::watchReplaced ? 1 : 0;
                                },
                                [this](const std::string &text) { newest = text; },
                                [this](Millis querySentAt) { confirmedAt = querySentAt; }};
@@ -315,7 +321,7 @@
     }
 
     FakeScheduler scheduler;
-    std::size_t replaced = 0;
+    std::size_t replacements = 0;
     std::string newest;
     Millis confirmedAt;
 
@@ -325,51 +331,53 @@
 
 } // namespace
 
-// A watch's connection goes silent for good: no answer, no reset. New connections work. The
-// settings would stay as they are, and nobody would notice.
-TEST_CASE("a watch that went silent is replaced")
+// The connection of a watch hangs: no reply and no reset, while new connections work. Without a
+// replacement the settings would stay outdated unnoticed.
+TEST_CASE("a watch without a reply is replacements")
 {
-    std::size_t asked = 0;
+    std::size_t watchCalls = 0;
     FakeScheduler *scheduler = nullptr;
-    WatcherBench bench([&](const StoreCompletion &done) {
-        if (++asked > 1)
-            scheduler->after(Millis(500), [done] { done(WatcherBench::replyWith("newer", 6)); });
+    HeadWatcherFixture fixture([&](const StoreCompletion &done) {
+        if (++watchCalls > 1)
+            scheduler->after(Millis(500),
+                             [done] { done(HeadWatcherFixture::replyWith("newer", 6)); });
     });
-    scheduler = &bench.scheduler;
-    bench.scheduler.runFor(Millis::seconds(6));
-    CHECK(bench.replaced == 1);
-    CHECK(bench.newest == "newer");
+    scheduler = &fixture.scheduler;
+    fixture.scheduler.runFor(Millis::seconds(6));
+    CHECK(fixture.replacements == 1);
+    CHECK(fixture.newest == "newer");
 }
 
-// The store is slow for an hour: each answer takes eight seconds. Calls are given up before, but
-// what they say in the end is true; if it were thrown away no change would come into force.
-TEST_CASE("a slow store's late answers are taken, with the age that they have")
+// The store takes eight seconds for each reply, for an hour. The calls time out earlier, but the
+// late replies are still correct; if they were dropped, no change would come into force.
+TEST_CASE("late replies of a slow store are accepted with their actual age")
 {
     FakeScheduler *scheduler = nullptr;
-    WatcherBench bench([&](const StoreCompletion &done) {
-        scheduler->after(Millis::seconds(8), [done] { done(WatcherBench::replyWith("newer", 6)); });
+    HeadWatcherFixture fixture([&](const StoreCompletion &done) {
+        scheduler->after(Millis::seconds(8),
+                         [done] { done(HeadWatcherFixture::replyWith("newer", 6)); });
     });
-    scheduler = &bench.scheduler;
-    bench.scheduler.runFor(Millis::seconds(9));
-    CHECK(bench.newest == "newer");
-    CHECK(bench.scheduler.now() - bench.confirmedAt >= Millis::seconds(8));
+    scheduler = &fixture.scheduler;
+    fixture.scheduler.runFor(Millis::seconds(9));
+    CHECK(fixture.newest == "newer");
+    CHECK(fixture.scheduler.now() - fixture.confirmedAt >= Millis::seconds(8));
 }
 
-// A watcher is killed, or stops as planned. Another of its domain must take its place without
-// anybody handing over, or the domain would hear of changes last.
-TEST_CASE("the duty to watch moves when a watcher goes")
+// A watcher crashes, or stops as planned. Another instance of its domain has to take over without a
+// handover, or the domain would receive changes last.
+TEST_CASE("another instance takes over when a watcher stops")
 {
     ConfigCluster cluster(shapeOf(24));
     cluster.apply({}, {});
     cluster.startAll();
-    cluster.runFor(Millis::minutes(7)); // substitutes of the start have stepped back
+    cluster.runFor(Millis::minutes(7)); // the terms of the substitutes from the start have ended
     CHECK(countWatching(cluster) == 6);
     std::size_t victim = 0;
     while (!cluster.config(victim).isWatching())
         ++victim;
     cluster.instances().kill(victim);
     cluster.runFor(Millis::seconds(15));
-    CHECK(countWatching(cluster) == 7); // the killed one's state is still there
+    CHECK(countWatching(cluster) == 7); // includes the last state of the stopped instance
     std::size_t leaving = victim + 1;
     while (!cluster.config(leaving).isWatching())
         ++leaving;
@@ -379,8 +387,8 @@
     CHECK(countWatching(cluster) == 7);
 }
 
-// Both watchers of a domain lose the store, and with it the domain's nearest word of it. Others
-// of the domain step in.
+// Both watchers of a domain lose the store, and with it the domain its closest source of
+// confirmations. Other instances of the domain have to step in.
 TEST_CASE("substitutes step in when the watchers confirm nothing")
 {
     ConfigCluster cluster(shapeOf(24));
@@ -397,8 +405,9 @@
     CHECK(cluster.runUntilInForce(next, Millis::seconds(10)) < Millis::seconds(6));
 }
 
-// A tree of many teams is larger than a frame; it must travel in pieces and arrive whole.
-TEST_CASE("a large tree travels between peers in pieces")
+// A tree with many teams is larger than a frame, so peers have to send it in chunks that are
+// reassembled completely.
+TEST_CASE("a large tree is transferred between peers in chunks")
 {
     ConfigCluster cluster(shapeOf(6));
     cluster.apply({}, {});
@@ -414,7 +423,7 @@
     CHECK(cluster.runUntilInForce(next, Millis::seconds(10)) < Millis::seconds(3));
 }
 
-TEST_CASE("malformed frames change nothing and are counted")
+TEST_CASE("malformed frames change no state and are counted")
 {
     ConfigCluster cluster(shapeOf(2));
     const std::uint64_t generation = cluster.apply({}, {});
@@ -426,6 +435,6 @@
     for (std::size_t length = 0; length < chunk.size(); ++length)
         CHECK_FALSE(cluster.config(0).receive(chunk.substr(0, length)));
     CHECK(cluster.config(0).malformedFrames() == chunk.size());
-    CHECK(cluster.config(0).receive(chunk)); // well formed, but nobody asked for it
+    CHECK(cluster.config(0).receive(chunk)); // well-formed, but not requested
     CHECK(cluster.config(0).generation() == generation);
 }
--- a/modules/configsync/configsync.h
+++ b/modules/configsync/configsync.h
@@ -1,11 +1,13 @@
 #pragma once
 
 /**
-    Brings the settings that operators accepted into force at every instance, and never back.
+    Puts the settings that operators accepted in force on every instance, and never reverts to older
+    ones.
 
-    Purpose: a few instances of each failure domain watch the platform's store; all others hear
-    from peers by comparing digests and pull what they lack. Each knows whether it is current and
-    how old its last confirmation is. docs/CONFIGURATION.md says what was weighed and measured.
+    Purpose: a few instances of each failure domain watch the platform's store; all others detect
+    changes by comparing digests with peers and fetch what they lack. Each instance knows whether
+    its settings are current and how old the last confirmation is. docs/CONFIGURATION.md describes
+    the alternatives and gives figures.
 
     Depends on: core, ports, settings, membership.
 */
--- a/modules/configsync/content/ContentFetcher.cpp
+++ b/modules/configsync/content/ContentFetcher.cpp
@@ -26,7 +26,7 @@
     *alive_ = false;
 }
 
-void ContentFetcher::want(const std::vector<std::string> &hashes)
+void ContentFetcher::setWanted(const std::vector<std::string> &hashes)
 {
     std::map<std::string, Transfer> wanted;
     for (const std::string &hash : hashes) {
@@ -34,7 +34,7 @@
             wanted[hash] = wanted_[hash];
     }
     wanted_ = std::move(wanted);
-    askNext();
+    startTransfers();
 }
 
 void ContentFetcher::addSource(const PeerAddress &peer)
@@ -49,87 +49,87 @@
     for (auto &entry : wanted_) {
         Transfer &transfer = entry.second;
         const Millis timeout = transfer.fromStore ? kStoreTimeout : config_.timeout;
-        if (transfer.isAsked && now >= transfer.querySentAt + timeout)
-            failed(transfer);
+        if (transfer.isPending && now >= transfer.querySentAt + timeout)
+            onTransferFailed(transfer);
     }
-    askNext();
+    startTransfers();
 }
 
-void ContentFetcher::askNext()
+void ContentFetcher::startTransfers()
 {
     const Millis now = hooks_.clock.now();
     if (!config_.usesStore && sources_.empty())
         wanted_.clear();
-    auto asked = static_cast<std::size_t>(std::count_if(
-        wanted_.begin(), wanted_.end(), [](const auto &entry) { return entry.second.isAsked; }));
+    auto pending = static_cast<std::size_t>(std::count_if(
+        wanted_.begin(), wanted_.end(), [](const auto &entry) { return entry.second.isPending; }));
     for (auto &entry : wanted_) {
-        if (asked >= config_.concurrent)
+        if (pending >= config_.maxTransfers)
             return;
-        if (entry.second.isAsked || now < entry.second.nextAt)
+        if (entry.second.isPending || now < entry.second.nextAt)
             continue;
-        ask(entry.first, entry.second);
-        ++asked;
+        startTransfer(entry.first, entry.second);
+        ++pending;
     }
 }
 
-void ContentFetcher::ask(const std::string &hash, Transfer &transfer)
+void ContentFetcher::startTransfer(const std::string &hash, Transfer &transfer)
 {
-    transfer.isAsked = true;
+    transfer.isPending = true;
     transfer.querySentAt = hooks_.clock.now();
     transfer.text.clear();
-    // Every so often the store is asked even with sources left: they may all be gone.
-    const bool isStoresTurn =
+    // The store is tried occasionally even if peers are left, since all of them may have stopped.
+    const bool isStoreDue =
         transfer.failures % (config_.peersBeforeStore + 1) == config_.peersBeforeStore;
-    transfer.fromStore = config_.usesStore && (sources_.empty() || isStoresTurn);
+    transfer.fromStore = config_.usesStore && (sources_.empty() || isStoreDue);
     if (transfer.fromStore) {
-        askStore(hash, transfer);
+        requestFromStore(hash, transfer);
         return;
     }
     const std::size_t pick = hooks_.random() % sources_.size();
     transfer.peer = *std::next(sources_.begin(), static_cast<std::ptrdiff_t>(pick));
-    askPeer(hash, transfer);
+    requestFromPeer(hash, transfer);
 }
 
-void ContentFetcher::askPeer(const std::string &hash, Transfer &transfer)
+void ContentFetcher::requestFromPeer(const std::string &hash, Transfer &transfer)
 {
     transfer.querySentAt = hooks_.clock.now();
     hooks_.transport.send(transfer.peer,
                           encodeConfig(ContentRequestMessage{self_, hash, transfer.text.size()}));
 }
 
-void ContentFetcher::askStore(const std::string &hash, Transfer &transfer)
+void ContentFetcher::requestFromStore(const std::string &hash, Transfer &transfer)
 {
     transfer.call = ++lastCall_;
     hooks_.store.get(settingsContentPath(hash),
                      [this, hash, call = transfer.call, alive = alive_](const StoreReply &reply) {
                          if (*alive)
-                             takeFromStore(hash, call, reply);
+                             handleStoreReply(hash, call, reply);
                      });
 }
 
-void ContentFetcher::takeFromStore(const std::string &hash, std::uint64_t call,
-                                   const StoreReply &reply)
+void ContentFetcher::handleStoreReply(const std::string &hash, std::uint64_t call,
+                                      const StoreReply &reply)
 {
     const auto found = wanted_.find(hash);
     if (found == wanted_.end())
         return;
-    // A text that comes late is taken too: its hash says whether it is the right one.
+    // A late reply is accepted too: its hash shows whether the text is the right one.
     if (reply.status == StoreStatus::Ok && !reply.objects.empty())
-        arrived(hash, reply.objects.front().value);
-    else if (found->second.call == call && found->second.isAsked)
-        failed(found->second);
+        onTextReceived(hash, reply.objects.front().value);
+    else if (found->second.call == call && found->second.isPending)
+        onTransferFailed(found->second);
 }
 
-void ContentFetcher::take(const ContentChunkMessage &chunk)
+void ContentFetcher::handleChunk(const ContentChunkMessage &chunk)
 {
     const auto found = wanted_.find(chunk.sha256);
-    if (found == wanted_.end() || !found->second.isAsked || found->second.fromStore)
+    if (found == wanted_.end() || !found->second.isPending || found->second.fromStore)
         return;
     Transfer &transfer = found->second;
     if (chunk.total == 0) {
         sources_.erase(transfer.peer);
-        failed(transfer);
-        askNext();
+        onTransferFailed(transfer);
+        startTransfers();
         return;
     }
     const bool isNext = chunk.offset == transfer.text.size() && !chunk.bytes.empty()
@@ -138,36 +138,36 @@
         return;
     transfer.text += chunk.bytes;
     if (transfer.text.size() < chunk.total)
-        askPeer(chunk.sha256, transfer);
+        requestFromPeer(chunk.sha256, transfer);
     else
-        arrived(chunk.sha256, std::move(transfer.text));
+        onTextReceived(chunk.sha256, std::move(transfer.text));
 }
 
-void ContentFetcher::failed(Transfer &transfer)
+void ContentFetcher::onTransferFailed(Transfer &transfer)
 {
-    transfer.isAsked = false;
+    transfer.isPending = false;
     transfer.text.clear();
     ++transfer.failures;
-    const std::int64_t doubled = kFirstRetry.count()
+    const std::int64_t backoff = kFirstRetry.count()
         << std::min<std::uint32_t>(transfer.failures, 8);
-    const std::int64_t pause = std::min(doubled, config_.longestRetry.count());
+    const std::int64_t pause = std::min(backoff, config_.maxRetryInterval.count());
     const bool hasOtherPeer = !sources_.empty() && !transfer.fromStore;
-    const auto spread = static_cast<std::int64_t>(hooks_.random() % std::uint64_t(pause));
-    transfer.nextAt = hooks_.clock.now() + Millis(hasOtherPeer ? 0 : pause / 2 + spread / 2);
+    const auto jitter = static_cast<std::int64_t>(hooks_.random() % std::uint64_t(pause));
+    transfer.nextAt = hooks_.clock.now() + Millis(hasOtherPeer ? 0 : pause / 2 + jitter / 2);
 }
 
-void ContentFetcher::arrived(const std::string &hash, std::string text)
+void ContentFetcher::onTextReceived(const std::string &hash, std::string text)
 {
     if (!contents_.add(hash, std::move(text))) {
         sources_.erase(wanted_[hash].peer);
-        failed(wanted_[hash]);
+        onTransferFailed(wanted_[hash]);
         return;
     }
     wanted_.erase(hash);
     if (wanted_.empty())
         hooks_.onComplete();
     else
-        askNext();
+        startTransfers();
 }
 
 } // namespace cuminrail
--- a/modules/configsync/content/ContentFetcher.h
+++ b/modules/configsync/content/ContentFetcher.h
@@ -20,16 +20,16 @@
 
 struct ContentFetcherConfig
 {
-    /** How long one request may go unanswered before another source is asked. */
+    /** How long a request to a peer may stay unanswered before another source is tried. */
     Millis timeout{700};
-    /** Contents asked for at once. */
-    std::size_t concurrent = 4;
-    /** After so many peers in vain the store is asked. */
+    /** Maximum number of concurrent transfers. */
+    std::size_t maxTransfers = 4;
+    /** After this many failed attempts with peers the store is tried. */
     std::uint32_t peersBeforeStore = 3;
-    /** False: without a peer that has it, a content is given up. */
+    /** False: a content that no known peer has is given up. */
     bool usesStore = true;
-    /** The longest pause before a repeated question to the store. */
-    Millis longestRetry{10000};
+    /** Maximum pause before the store is called again. */
+    Millis maxRetryInterval{10000};
 };
 
 struct ContentFetcherHooks
@@ -38,16 +38,17 @@
     ObjectStore store;
     Clock clock;
     RandomHook random;
-    /** All that was wanted is there. */
+    /** All wanted contents are available. */
     std::function<void()> onComplete;
 };
 
 /**
-    Gets the contents that a head names and that are not here yet.
+    Fetches the contents that a head refers to and that are missing here.
 
-    From peers that said they have them, piece by piece, each piece asked for after the former
-    arrived, so that a sender's queue holds one piece for each receiver at most. From the store
-    when no peer is known to have them, as at the first watcher that sees a new head.
+    Fetches from peers that reported to have them, in chunks, and requests each chunk after the
+    previous one arrived, so that a sender's queue holds at most one chunk for each receiver.
+    Fetches from the store if no peer is known to have them, as on the first watcher that receives a
+    new head.
 */
 class ContentFetcher
 {
@@ -58,21 +59,24 @@
     ContentFetcher(const ContentFetcher &) = delete;
     ContentFetcher &operator=(const ContentFetcher &) = delete;
 
-    /** Sets what is wanted; what is there already is passed over. Drops what else was wanted. */
-    void want(const std::vector<std::string> &hashes);
-    /** Names a peer that has all that is wanted. */
+    /**
+        Sets the wanted contents. Those already available are skipped; transfers of others are
+        dropped.
+    */
+    void setWanted(const std::vector<std::string> &hashes);
+    /** Adds a peer that has all wanted contents. */
     void addSource(const PeerAddress &peer);
     void clearSources() { sources_.clear(); }
     void tick();
-    void take(const ContentChunkMessage &chunk);
+    void handleChunk(const ContentChunkMessage &chunk);
 
     bool isComplete() const { return wanted_.empty(); }
 
 private:
-    /** One content on its way. */
+    /** A content being fetched. */
     struct Transfer
     {
-        bool isAsked = false;
+        bool isPending = false;
         bool fromStore = false;
         PeerAddress peer;
         std::string text;
@@ -82,13 +86,13 @@
         Millis nextAt;
     };
 
-    void askNext();
-    void ask(const std::string &hash, Transfer &transfer);
-    void askPeer(const std::string &hash, Transfer &transfer);
-    void askStore(const std::string &hash, Transfer &transfer);
-    void takeFromStore(const std::string &hash, std::uint64_t call, const StoreReply &reply);
-    void failed(Transfer &transfer);
-    void arrived(const std::string &hash, std::string text);
+    void startTransfers();
+    void startTransfer(const std::string &hash, Transfer &transfer);
+    void requestFromPeer(const std::string &hash, Transfer &transfer);
+    void requestFromStore(const std::string &hash, Transfer &transfer);
+    void handleStoreReply(const std::string &hash, std::uint64_t call, const StoreReply &reply);
+    void onTransferFailed(Transfer &transfer);
+    void onTextReceived(const std::string &hash, std::string text);
 
     ContentFetcherConfig config_;
     ContentFetcherHooks hooks_;
@@ -97,7 +101,7 @@
     std::set<PeerAddress> sources_;
     std::map<std::string, Transfer> wanted_;
     std::uint64_t lastCall_ = 0;
-    /** Tells a completion of the store that this object is gone. */
+    /** False once this object is destroyed, for completions of the store that are still pending. */
     std::shared_ptr<bool> alive_;
 };
 
--- a/modules/configsync/content/ContentStore.cpp
+++ b/modules/configsync/content/ContentStore.cpp
@@ -15,8 +15,8 @@
 
 bool ContentStore::add(const std::string &sha256, std::string text)
 {
-    // A text that was cut short, mixed up or put together from two answers would be valid JSON
-    // now and then; the hash in the head says which text the operator's tool has checked.
+    // A text that is truncated, swapped with another or assembled from two replies may still be
+    // valid JSON. The hash in the head identifies the text that the operator's tool has validated.
     if (guardEnabled(Guard::ContentHashChecked) && sha256_(text) != sha256)
         return false;
     texts_[sha256] = std::move(text);
--- a/modules/configsync/duty/WatchDuty.cpp
+++ b/modules/configsync/duty/WatchDuty.cpp
@@ -34,14 +34,14 @@
         return false;
     if (rank_ < config_.watchersPerDomain)
         return true;
-    const std::size_t place = rank_ - config_.watchersPerDomain;
-    if (place >= config_.substitutesPerDomain)
+    const std::size_t substituteIndex = rank_ - config_.watchersPerDomain;
+    if (substituteIndex >= config_.substitutesPerDomain)
         return false;
-    const Millis patience =
-        config_.stepInAfter + config_.stepInStep * static_cast<std::int64_t>(place);
-    if (confirmedAge > patience)
-        substituteUntil_ = now + config_.substituteTerm;
-    return substituteUntil_ && now < *substituteUntil_;
+    const Millis requiredAge = config_.substituteAge
+        + config_.substituteAgeStep * static_cast<std::int64_t>(substituteIndex);
+    if (confirmedAge > requiredAge)
+        substituteTermEnd_ = now + config_.substituteTerm;
+    return substituteTermEnd_ && now < *substituteTermEnd_;
 }
 
 } // namespace cuminrail
--- a/modules/configsync/duty/WatchDuty.h
+++ b/modules/configsync/duty/WatchDuty.h
@@ -12,25 +12,29 @@
 
 struct WatchDutyConfig
 {
-    /** How many instances of each failure domain watch the store. */
+    /** Number of instances in each failure domain that watch the store. */
     std::size_t watchersPerDomain = 2;
-    /** How many more may step in when the watchers confirm nothing. */
+    /** Maximum number of further instances that watch while the watchers confirm nothing. */
     std::size_t substitutesPerDomain = 4;
-    /** How old the confirmation gets before the first substitute steps in, and each next one. */
-    Millis stepInAfter{4000};
-    Millis stepInStep{1000};
-    /** How long a substitute stays. */
+    /**
+        Age of the confirmation from which the first substitute watches, and the additional age for
+        each further one.
+    */
+    Millis substituteAge{4000};
+    Millis substituteAgeStep{1000};
+    /** How long a substitute watches. */
     Millis substituteTerm = Millis::minutes(5);
 };
 
 /**
-    Decides whether this instance watches the store: the first few of its failure domain, by a
-    hash of the name, do.
-
-    Every member computes the same order from its own view, without asking. Where views differ for
-    a moment there is one watcher more or less. A watcher that cannot reach the store is not found
-    out by rank, so when nothing confirms the settings, the next in rank step in for a while, never
-    more than a bounded number however long the store is out.
+    Decides whether this instance watches the store: the first few of each failure domain do,
+    ordered by a hash of the name.
+
+    Every member computes the same order from its own view, without exchanging messages. While views
+    differ, there may temporarily be one watcher more or fewer. The order does not take into account
+    whether a watcher reaches the store, so if nothing confirms the settings, the next in rank act
+    as substitutes for a limited time. Their number is limited, however long the store is
+    unavailable.
 */
 class WatchDuty
 {
@@ -38,13 +42,13 @@
     WatchDuty(WatchDutyConfig config, MemberRecord self) : config_(config), self_(std::move(self))
     { }
 
-    /** Computes this instance's rank anew. @param members all others */
+    /** Recomputes this instance's rank. @param members all other members */
     void setMembers(const std::vector<MemberView> &members);
 
-    /** Returns true when this instance watches now. */
+    /** Returns true if this instance has to watch now. */
     bool isOnDuty(Millis now, Millis confirmedAge, bool isLeaving);
 
-    /** Returns the watchers of the own domain, without this instance. */
+    /** Returns the other watchers of this instance's domain. */
     const std::vector<InstanceId> &watchers() const { return watchers_; }
     std::size_t rank() const { return rank_; }
 
@@ -53,7 +57,7 @@
     MemberRecord self_;
     std::size_t rank_ = 0;
     std::vector<InstanceId> watchers_;
-    std::optional<Millis> substituteUntil_;
+    std::optional<Millis> substituteTermEnd_;
 };
 
 } // namespace cuminrail
--- a/modules/configsync/freshness/Freshness.cpp
+++ b/modules/configsync/freshness/Freshness.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-void moveForward(Millis &instant, Millis candidate)
+void advanceTo(Millis &instant, Millis candidate)
 {
     if (instant == Millis::never() || candidate > instant)
         instant = candidate;
@@ -21,30 +21,31 @@
 
 void Freshness::confirmByStore(Millis querySentAt)
 {
-    moveForward(storeAt_, querySentAt);
+    advanceTo(storeConfirmedAt_, querySentAt);
 }
 
 void Freshness::confirmByPeer(Millis querySentAt, Millis peersStoreAge)
 {
-    moveForward(peersAt_, querySentAt);
+    advanceTo(peersConfirmedAt_, querySentAt);
     if (peersStoreAge < Millis::never())
-        moveForward(storeAt_, querySentAt - peersStoreAge);
+        advanceTo(storeConfirmedAt_, querySentAt - peersStoreAge);
 }
 
 Millis Freshness::storeAge(Millis now) const
 {
-    return ageOf(storeAt_, now);
+    return ageOf(storeConfirmedAt_, now);
 }
 
-// A key is withdrawn in the store. An instance that hears neither from the store nor from anybody
-// who does would honour it for as long as it is cut off; so from the limit on it refuses. When the
-// store is out for everybody nothing can be withdrawn, and refusing would stop all service for an
-// hour: then it is enough that a majority of the instances agree that they know nothing newer.
+// If a key is withdrawn in the store, an instance that reaches neither the store nor any peer that
+// does would accept the key for as long as it is cut off. It therefore refuses requests once the
+// limit is exceeded. If the store is unavailable to all instances, nothing can be withdrawn, and
+// refusing would stop the whole service, possibly for an hour: then it is sufficient that a
+// majority of the instances agree that none has newer settings.
 FreshnessReport Freshness::report(Millis now, const PeerReachability &reachability) const
 {
     FreshnessReport report;
-    report.storeAge = ageOf(storeAt_, now);
-    report.peersAge = ageOf(peersAt_, now);
+    report.storeAge = ageOf(storeConfirmedAt_, now);
+    report.peersAge = ageOf(peersConfirmedAt_, now);
     if (report.storeAge <= limit_)
         report.confirmedBy = ConfirmedBy::Store;
     else if (report.peersAge <= limit_ && reachability.isMajority())
--- a/modules/configsync/freshness/Freshness.h
+++ b/modules/configsync/freshness/Freshness.h
@@ -8,12 +8,15 @@
 
 namespace cuminrail {
 
-/** Who last said that the settings in force are the newest. */
+/** Source of the last confirmation that the settings in force are the newest. */
 enum class ConfirmedBy : std::uint8_t {
     Nobody,
-    /** The store, asked here or by a peer whose word came here. */
+    /** The store, called by this instance or by a peer that forwarded the result. */
     Store,
-    /** A majority of the peers, who have no newer ones either, while the store is silent to all. */
+    /**
+        A majority of the peers, which have no newer settings either, while none of them reaches the
+        store.
+    */
     Peers,
 };
 
@@ -23,43 +26,50 @@
     {ConfirmedBy::Peers, "peers"},
 }}};
 
-/** How current an instance is, for its decision to serve and for /readyz and /state. */
+/**
+    How current an instance's settings are; decides whether it serves, and is shown in /readyz and
+    /state.
+*/
 struct FreshnessReport
 {
     ConfirmedBy confirmedBy = ConfirmedBy::Nobody;
-    /** Since the store was last known to have these settings; never() for "it never was". */
+    /** Time since the store was last known to have these settings; never() if it never was. */
     Millis storeAge = Millis::never();
-    /** Since a peer last said that it has no newer ones either. */
+    /** Time since a peer last reported that it has no newer settings. */
     Millis peersAge = Millis::never();
     /** False: requests are refused with stale_configuration. */
     bool mayServe = false;
 };
 
 /**
-    Keeps account of how far the settings in force are confirmed: of the latest instant before which
-    every accepted change is known to be in force here. Newer settings never make it earlier.
+    Tracks the latest instant before which every accepted change is known to be in force here. Newer
+    settings never move it back.
 
-    All instants are this machine's and never later than the true one: an answer counts from when
-    its question was sent, and a peer's word from when it was asked, less the age that it gave.
+    All instants are by this machine's clock and never later than the actual ones: a reply of the
+    store counts from when its call was sent, and a peer's digest from when its query was sent, less
+    the age in the digest.
 */
 class Freshness
 {
 public:
     explicit Freshness(Millis limit) : limit_(limit) { }
 
-    /** The store had nothing newer than is in force here, at some time after this instant. */
+    /**
+        Records that at some time after this instant the store had nothing newer than the settings
+        in force.
+    */
     void confirmByStore(Millis querySentAt);
-    /** A peer that has nothing newer in force either answered a question of this instant. */
+    /** Records the reply of a peer without newer settings to a query sent at this instant. */
     void confirmByPeer(Millis querySentAt, Millis peersStoreAge);
 
-    /** Returns the span since the store's confirmation, never() if there is none. */
+    /** Returns the time since the store's last confirmation, never() if there is none. */
     Millis storeAge(Millis now) const;
     FreshnessReport report(Millis now, const PeerReachability &reachability) const;
 
 private:
     Millis limit_;
-    Millis storeAt_ = Millis::never();
-    Millis peersAt_ = Millis::never();
+    Millis storeConfirmedAt_ = Millis::never();
+    Millis peersConfirmedAt_ = Millis::never();
 };
 
 } // namespace cuminrail
--- a/modules/configsync/measure/ConfigCluster.cpp
+++ b/modules/configsync/measure/ConfigCluster.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::uint64_t kStartSpread = 2000;
+constexpr std::uint64_t kStartWindowMs = 2000;
 constexpr const char *kFleetText = R"({"domains":[{"id":"a","region":"r"}]})";
 constexpr const char *kTeamText = R"({"customers":[{"id":"c"}]})";
 
@@ -44,7 +44,7 @@
     : config_(config), cluster_(shape), network_(cluster_.scheduler()), store_(network_),
       configs_(shape.instances), history_(shape.instances)
 {
-    // As the platform answers: in milliseconds.
+    // Response time of the platform's store: milliseconds.
     network_.setSlow(FakeObjectStore::endpoint, Millis(3));
 }
 
@@ -72,7 +72,7 @@
 void ConfigCluster::start(std::size_t index)
 {
     VirtualInstance &instance = cluster_.at(index);
-    // The hooks of a former life would reach into what is gone.
+    // The hooks of the previous incarnation refer to destroyed objects.
     instance.onFact = nullptr;
     instance.onPeerDigest = nullptr;
     instance.onMembersChanged = nullptr;
@@ -99,10 +99,10 @@
 {
     for (std::size_t i = 0; i < size(); ++i) {
         const auto delay =
-            static_cast<std::int64_t>(cluster_.scheduler().random()() % kStartSpread);
+            static_cast<std::int64_t>(cluster_.scheduler().random()() % kStartWindowMs);
         cluster_.scheduler().after(Millis(delay), [this, i] { start(i); });
     }
-    runFor(Millis(kStartSpread));
+    runFor(Millis(kStartWindowMs));
 }
 
 bool ConfigCluster::accepts(std::size_t index, const std::string &keySha256) const
--- a/modules/configsync/measure/ConfigCluster.h
+++ b/modules/configsync/measure/ConfigCluster.h
@@ -13,14 +13,14 @@
 
 namespace cuminrail {
 
-/** Returns 64 hexadecimal digits that depend on the text; stands for SHA-256 in virtual time. */
+/** Returns 64 hexadecimal digits that depend on the text; replaces SHA-256 in virtual time. */
 std::string virtualSha256(const std::string &text);
 
 /**
-    Instances with membership and configuration, and a store, in virtual time.
+    Instances with membership and configuration synchronisation, and a store, in virtual time.
 
-    For tests and measurements. Settings are small but real trees, written as cuminrailctl does:
-    contents first, the head last.
+    For tests and measurements. Settings are small but valid trees, written in the same order as by
+    cuminrailctl: contents first, the head last.
 */
 class ConfigCluster
 {
@@ -36,30 +36,40 @@
     Millis now() const { return cluster_.now(); }
     void runFor(Millis span) { cluster_.runFor(span); }
 
-    /** Starts one instance, a new life of it if it ran before. */
+    /** Starts an instance, or restarts it as a new incarnation. */
     void start(std::size_t index);
-    /** Starts all, spread over two seconds. */
+    /** Starts all instances, distributed over two seconds. */
     void startAll();
     ConfigSync &config(std::size_t index) { return *configs_[index]; }
-    /** Returns every generation that any life of an instance put in force, in order. */
+    /**
+        Returns all generations that an instance put in force, over all its incarnations, in order.
+    */
     const std::vector<std::uint64_t> &history(std::size_t index) const { return history_[index]; }
-    /** Returns true when an instance takes a key now. */
+    /** Returns true if an instance accepts a key now. */
     bool accepts(std::size_t index, const std::string &keySha256) const;
 
-    /** Writes the next generation, with these keys valid and the rest withdrawn. */
+    /** Writes the next generation, with these keys valid and those withdrawn. */
     std::uint64_t apply(const std::vector<std::string> &validKeys,
                         const std::vector<std::string> &withdrawnKeys);
-    /** Writes a head that names these subtrees, as an operator of another version might. */
+    /**
+        Writes a head that refers to these subtrees, which may be invalid like those of a tool of
+        another version.
+    */
     std::uint64_t applySubtrees(const SettingsSubtrees &subtrees);
 
-    /** Returns how many running instances have this generation in force. */
+    /**
+        Returns how many instances have this generation in force; those not running are counted too.
+    */
     std::size_t countInForce(std::uint64_t generation);
-    /** Runs until all running instances have it, or a limit is over; returns the span it took. */
+    /**
+        Runs until all running instances have it in force or the limit is exceeded; returns the time
+        it took.
+    */
     Millis runUntilInForce(std::uint64_t generation, Millis limit);
 
-    /** Cuts an instance off from the store, or joins it again. */
+    /** Cuts an instance off from the store, or reconnects it. */
     void setStoreCut(std::size_t index, bool cut);
-    /** Takes the store away from everybody, or brings it back. */
+    /** Makes the store unavailable to all instances, or available again. */
     void setStoreOut(bool out);
 
     static std::string keyHash(std::size_t number);
@@ -76,35 +86,45 @@
     std::uint64_t generation_ = 0;
 };
 
-/** What configuration costs and how fast it is at one size. */
-struct ConfigFigures
+/** Cost and propagation times of configuration synchronisation for one cluster size. */
+struct ConfigSyncMeasurement
 {
     std::size_t instances = 0;
-    /** From the write of a head until half, and until all, have it in force; worst of several. */
+    /**
+        From writing a head until half, and until all, of the instances have it in force; maximum
+        over several changes.
+    */
     Millis inForceMedian;
     Millis inForceWorst;
-    /** From the write of a withdrawal until all refuse the key. */
+    /** From writing a withdrawal until all instances refuse the key. */
     Millis withdrawnWorst;
-    /** Age of the last confirmation over all instances, sampled at rest. */
+    /** Age of the last confirmation over all instances, sampled in the steady state. */
     Millis ageMedian;
     Millis ageWorst;
     std::size_t watchers = 0;
-    /** Calls of all instances together to the store in a second at rest; a watch is one. */
+    /**
+        Calls per second to the store by all instances together in the steady state; a watch counts
+        as one.
+    */
     double storeCallsPerSecond = 0;
-    /** Sent by one instance in a second at rest, and its busiest, membership included. */
+    /**
+        Sent per instance and second in the steady state, mean and the busiest instance, membership
+        included.
+    */
     double bytesPerSecond = 0;
     double worstBytesPerSecond = 0;
-    /** Most calls to the store in any second of the minute after an outage. */
-    double worstReturnCallsPerSecond = 0;
-    /** Instances that refused requests during that outage. */
+    /** Maximum number of calls to the store in one second, within the minute after an outage. */
+    double worstCallsPerSecondAfterOutage = 0;
+    /** Instances that refused requests at the end of that outage. */
     std::size_t refusedInOutage = 0;
 };
 
 /**
-    Runs a cluster of a shape in virtual time and measures; the same seed gives the same figures.
+    Simulates a cluster of the given shape in virtual time; the same seed yields the same result.
 
-    @param outage  how long the store is out for everybody
+    @param outage  how long the store is unavailable to all instances
 */
-ConfigFigures measureConfigSync(const ClusterShape &shape, Millis outage = Millis::minutes(10));
+ConfigSyncMeasurement measureConfigSync(const ClusterShape &shape,
+                                        Millis outage = Millis::minutes(10));
 
 } // namespace cuminrail
--- a/modules/configsync/messages/ConfigCodec.h
+++ b/modules/configsync/messages/ConfigCodec.h
@@ -7,10 +7,10 @@
 
 namespace cuminrail {
 
-/** Returns the frame of a message, for FrameChannel::ConfigSync. */
+/** Encodes a message as a frame of FrameChannel::ConfigSync. */
 std::string encodeConfig(const ConfigMessage &message);
 
-/** Reads a frame strictly; a malformed one gives nothing. @see decodeMembership */
+/** Decodes a frame strictly; returns nothing if it is malformed. @see decodeMembership */
 std::optional<ConfigMessage> decodeConfig(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/configsync/messages/ConfigMessages.h
+++ b/modules/configsync/messages/ConfigMessages.h
@@ -9,13 +9,15 @@
 
 namespace cuminrail {
 
-/** "Which settings head is in force with you?" */
+/** Requests the settings head that is in force at the receiver. */
 struct HeadRequestMessage
 {
     PeerAddress from;
 };
 
-/** The generation in force at the sender, and the hash under which its text can be asked for. */
+/**
+    The generation in force at the sender, and the hash with which its head's text can be requested.
+*/
 struct HeadReplyMessage
 {
     PeerAddress from;
@@ -23,7 +25,7 @@
     std::string sha256;
 };
 
-/** "Send a piece of this content." */
+/** Requests a chunk of a content. */
 struct ContentRequestMessage
 {
     PeerAddress from;
@@ -31,7 +33,7 @@
     std::uint64_t offset = 0;
 };
 
-/** A piece of a content; a total of 0 says that the sender does not have it. */
+/** A chunk of a content; a total of 0 means that the sender does not have it. */
 struct ContentChunkMessage
 {
     std::string sha256;
@@ -43,7 +45,7 @@
 using ConfigMessage =
     std::variant<HeadRequestMessage, HeadReplyMessage, ContentRequestMessage, ContentChunkMessage>;
 
-/** Bounds on what one message holds. */
+/** Limits for one message. */
 struct ConfigMessageLimits
 {
     static constexpr std::size_t address = 64;
--- a/modules/configsync/store/HeadWatcher.cpp
+++ b/modules/configsync/store/HeadWatcher.cpp
@@ -25,8 +25,9 @@
         isWaiting_ = false;
         return;
     }
-    const bool isSilent = isWaiting_ && now >= askedAt_ + config_.wait + config_.margin;
-    if (isSilent && guardEnabled(Guard::SilentWatchReplaced)) {
+    const bool isTimedOut =
+        isWaiting_ && now >= askedAt_ + config_.watchDuration + config_.timeoutMargin;
+    if (isTimedOut && guardEnabled(Guard::SilentWatchReplaced)) {
         ++currentCall_;
         isWaiting_ = false;
         hooks_.events(Event{&events::watchReplaced,
@@ -34,10 +35,10 @@
         retryLater(now);
     }
     if (!isWaiting_ && now >= nextAt_)
-        ask(now);
+        sendCall(now);
 }
 
-void HeadWatcher::ask(Millis now)
+void HeadWatcher::sendCall(Millis now)
 {
     isWaiting_ = true;
     askedAt_ = now;
@@ -45,18 +46,18 @@
     const auto done = [this, call, now, alive = alive_](const StoreReply &reply) {
         if (!*alive)
             return;
-        // What a slow store says late is true all the same; only its call is no longer waited for.
+        // A late reply of a slow store is still correct; only the call is no longer pending.
         if (currentCall_ == call)
-            finished(reply);
-        take(reply, now);
+            finishCall(reply);
+        handleReply(reply, now);
     };
     if (revision_ == 0)
         hooks_.store.get(kSettingsHeadPath, done);
     else
-        hooks_.store.watch(kSettingsHeadPath, revision_, config_.wait, done);
+        hooks_.store.watch(kSettingsHeadPath, revision_, config_.watchDuration, done);
 }
 
-void HeadWatcher::finished(const StoreReply &reply)
+void HeadWatcher::finishCall(const StoreReply &reply)
 {
     isWaiting_ = false;
     const Millis now = hooks_.clock.now();
@@ -66,11 +67,11 @@
         return;
     }
     failures_ = 0;
-    // A head that is not there yet is looked for again after a pause, not at once.
-    nextAt_ = reply.status == StoreStatus::NotFound ? now + config_.firstRetry : now;
+    // A head that does not exist yet is read again after a pause, not immediately.
+    nextAt_ = reply.status == StoreStatus::NotFound ? now + config_.firstRetryInterval : now;
 }
 
-void HeadWatcher::take(const StoreReply &reply, Millis querySentAt)
+void HeadWatcher::handleReply(const StoreReply &reply, Millis querySentAt)
 {
     if (reply.status != StoreStatus::Ok)
         return;
@@ -84,12 +85,12 @@
 
 void HeadWatcher::retryLater(Millis now)
 {
-    const std::int64_t doubled = config_.firstRetry.count()
+    const std::int64_t backoff = config_.firstRetryInterval.count()
         << std::min<std::uint32_t>(failures_, 8);
-    const std::int64_t pause = std::min(doubled, config_.longestRetry.count());
+    const std::int64_t pause = std::min(backoff, config_.maxRetryInterval.count());
     ++failures_;
-    const auto spread = static_cast<std::int64_t>(hooks_.random() % std::uint64_t(pause));
-    nextAt_ = now + Millis(pause / 2 + spread / 2);
+    const auto jitter = static_cast<std::int64_t>(hooks_.random() % std::uint64_t(pause));
+    nextAt_ = now + Millis(pause / 2 + jitter / 2);
 }
 
 } // namespace cuminrail
--- a/modules/configsync/store/HeadWatcher.h
+++ b/modules/configsync/store/HeadWatcher.h
@@ -14,12 +14,15 @@
 
 struct HeadWatcherConfig
 {
-    /** How long the store holds a watch open. Short, since an answer counts from its question. */
-    Millis wait{1000};
-    /** A watch without an answer this long after its wait is given up. */
-    Millis margin{2000};
-    Millis firstRetry{500};
-    Millis longestRetry{10000};
+    /**
+        How long the store keeps a watch open. Short, because a reply confirms the head only as of
+        when its call was sent.
+    */
+    Millis watchDuration{1000};
+    /** A watch without a reply is given up this long after its duration has passed. */
+    Millis timeoutMargin{2000};
+    Millis firstRetryInterval{500};
+    Millis maxRetryInterval{10000};
 };
 
 struct HeadWatcherHooks
@@ -28,19 +31,19 @@
     Clock clock;
     RandomHook random;
     EventSink events;
-    /** The store has this head. */
+    /** The store returned this head. */
     std::function<void(const std::string &headText)> onHead;
-    /** The store had nothing newer than the last head at some time after this instant. */
+    /** At some time after this instant the store had nothing newer than the last head. */
     std::function<void(Millis querySentAt)> onConfirmed;
 };
 
 /**
     Watches settings/head in the store while this instance has that duty.
 
-    A read first, then one watch after the other. A failed call is repeated with a growing,
-    randomly spread pause, so that watchers do not return together after an outage. A watch that
-    is answered by nobody is replaced: an open connection may have gone silent for good, and the
-    settings would stay as they are without anybody noticing.
+    Reads once, then sends one watch after the other. A failed call is retried after an
+    exponentially growing pause with jitter, so that watchers do not return simultaneously after an
+    outage. A watch without a reply is replaced, because an open connection may hang indefinitely
+    and the settings would stay outdated unnoticed.
 */
 class HeadWatcher
 {
@@ -50,23 +53,26 @@
     HeadWatcher(const HeadWatcher &) = delete;
     HeadWatcher &operator=(const HeadWatcher &) = delete;
 
-    /** Goes on watching, or stops when the duty is another's. */
+    /** Starts or continues watching; stops if this instance is not on duty. */
     void tick(bool isOnDuty);
 
-    /** Returns how many calls in a row failed. */
+    /** Returns the number of consecutive failed calls. */
     std::uint32_t failures() const { return failures_; }
 
 private:
-    void ask(Millis now);
-    void finished(const StoreReply &reply);
-    void take(const StoreReply &reply, Millis querySentAt);
+    void sendCall(Millis now);
+    void finishCall(const StoreReply &reply);
+    void handleReply(const StoreReply &reply, Millis querySentAt);
     void retryLater(Millis now);
 
     HeadWatcherConfig config_;
     HeadWatcherHooks hooks_;
-    /** Tells a completion that this object is gone. */
+    /** False once this object is destroyed, for completions that are still pending. */
     std::shared_ptr<bool> alive_;
-    /** Tells a completion that its call was given up, or the duty with it. */
+    /**
+        Number of the current call; completions of other calls belong to a call that timed out or to
+        a duty that ended.
+    */
     std::uint64_t currentCall_ = 0;
     bool isWaiting_ = false;
     Millis askedAt_;
