--- a/modules/engineview/EngineView.cpp
+++ b/modules/engineview/EngineView.cpp
@@ -12,8 +12,8 @@
 
 std::uint16_t clampCount(std::uint32_t count)
 {
-    constexpr std::uint32_t most = std::numeric_limits<std::uint16_t>::max();
-    return static_cast<std::uint16_t>(std::min(count, most));
+    constexpr std::uint32_t maxCount = std::numeric_limits<std::uint16_t>::max();
+    return static_cast<std::uint16_t>(std::min(count, maxCount));
 }
 
 EngineReport reportOf(const EngineState &state, Millis now)
@@ -58,9 +58,9 @@
     for (const EngineSettings &engine : settings_) {
         if (pollerOf(engine.id, engine.domain, members) != config_.self)
             continue;
-        const auto before = polled_.find(engine.id);
-        if (before != polled_.end())
-            polled.insert(*before);
+        const auto previous = polled_.find(engine.id);
+        if (previous != polled_.end())
+            polled.insert(*previous);
         else
             polled.emplace(engine.id, Polled{engine.id, now_, false});
     }
@@ -72,24 +72,24 @@
     now_ = now;
     for (auto &entry : polled_) {
         Polled &polled = entry.second;
-        if (!polled.inFlight && now >= polled.nextPoll && inFlight_ < config_.pollsInFlight)
+        if (!polled.inFlight && now >= polled.nextPollAt && inFlight_ < config_.maxConcurrentPolls)
             poll(polled, now);
     }
-    if (now >= nextPass_) {
-        nextPass_ = now + config_.gatherPeriod;
-        passOn(now);
+    if (now >= nextForwardAt_) {
+        nextForwardAt_ = now + config_.batchInterval;
+        forwardUpdates(now);
     }
-    if (now >= nextAsk_) {
-        nextAsk_ = now + config_.askPeriod;
-        askForFacts(now);
+    if (now >= nextFactsQueryAt_) {
+        nextFactsQueryAt_ = now + config_.factsQueryInterval;
+        queryFacts(now);
     }
 }
 
 void EngineView::poll(Polled &polled, Millis now)
 {
-    // Without the random part all polls of a restarted instance would stay in step for ever.
+    // Without jitter all polls of a restarted instance would stay synchronised permanently.
     const auto jitter = static_cast<std::int64_t>(random_() % 200);
-    polled.nextPoll = now + config_.pollPeriod - Millis(jitter);
+    polled.nextPollAt = now + config_.pollPeriod - Millis(jitter);
     polled.inFlight = true;
     ++inFlight_;
     engines_.readState(polled.engine,
@@ -108,39 +108,40 @@
     if (!state)
         return;
     const EngineReport report = reportOf(*state, now_);
-    noteNews(report.engine, table_.merge(report));
-    table_.learn(*state);
+    recordUpdate(report.engine, table_.merge(report));
+    table_.mergeFacts(*state);
 }
 
-void EngineView::noteNews(EngineKey engine, ReportNews news)
+void EngineView::recordUpdate(EngineKey engine, ReportMergeResult result)
 {
-    if (news == ReportNews::Facts)
-        changed_.insert(engine);
-    else if (news == ReportNews::Load)
-        fresh_.insert(engine);
+    if (result == ReportMergeResult::FactsChanged)
+        unsentChanges_.insert(engine);
+    else if (result == ReportMergeResult::NewSample)
+        unsentLoads_.insert(engine);
 }
 
-void EngineView::passOn(Millis now)
+void EngineView::forwardUpdates(Millis now)
 {
-    if (!changed_.empty())
-        passOnChanges(now);
-    if (!fresh_.empty()) {
-        const std::string frame = reportFrame(fresh_, now);
-        for (const PeerAddress &neighbour : drawNeighbours())
+    if (!unsentChanges_.empty())
+        forwardChanges(now);
+    if (!unsentLoads_.empty()) {
+        const std::string frame = reportFrame(unsentLoads_, now);
+        for (const PeerAddress &neighbour : selectNeighbours())
             peers_.send(neighbour, frame);
     }
-    changed_.clear();
-    fresh_.clear();
+    unsentChanges_.clear();
+    unsentLoads_.clear();
 }
 
-void EngineView::passOnChanges(Millis now)
+void EngineView::forwardChanges(Millis now)
 {
-    const std::string frame = reportFrame(changed_, now);
-    const std::vector<EngineKey> changed(changed_.begin(), changed_.end());
+    const std::string frame = reportFrame(unsentChanges_, now);
+    const std::vector<EngineKey> changed(unsentChanges_.begin(), unsentChanges_.end());
     for (const PeerAddress &neighbour : hooks_.neighbours()) {
         peers_.send(neighbour, frame);
-        // Left to ask for the facts, each instance in a chain would wait for the one before it.
-        answerFacts(neighbour, changed, now);
+        // If the facts were only sent on request, each instance along a forwarding path would have
+        // to wait for the previous one to fetch them.
+        sendFacts(neighbour, changed, now);
     }
 }
 
@@ -156,33 +157,33 @@
     return encodeReportMessage(message, now);
 }
 
-std::vector<PeerAddress> EngineView::drawNeighbours()
+std::vector<PeerAddress> EngineView::selectNeighbours()
 {
     std::vector<PeerAddress> all = hooks_.neighbours();
-    std::vector<PeerAddress> drawn;
-    while (drawn.size() < config_.fanOut && !all.empty()) {
-        const std::size_t place = random_() % all.size();
-        drawn.push_back(all[place]);
-        all[place] = all.back();
+    std::vector<PeerAddress> selected;
+    while (selected.size() < config_.fanOut && !all.empty()) {
+        const std::size_t pick = random_() % all.size();
+        selected.push_back(all[pick]);
+        all[pick] = all.back();
         all.pop_back();
     }
-    return drawn;
+    return selected;
 }
 
-void EngineView::askForFacts(Millis now)
+void EngineView::queryFacts(Millis now)
 {
-    std::map<PeerAddress, ReportMessage> questions;
+    std::map<PeerAddress, ReportMessage> queries;
     for (const EngineKey engine : table_.unknownFacts()) {
-        const auto teller = teller_.find(engine);
-        if (teller == teller_.end())
+        const auto reporter = lastReporter_.find(engine);
+        if (reporter == lastReporter_.end())
             continue;
-        ReportMessage &question = questions[teller->second];
-        question.kind = ReportMessageKind::FactsWanted;
-        if (question.wanted.size() < maxFactsPerFrame)
-            question.wanted.push_back(engine);
+        ReportMessage &query = queries[reporter->second];
+        query.kind = ReportMessageKind::FactsWanted;
+        if (query.wanted.size() < maxFactsPerFrame)
+            query.wanted.push_back(engine);
     }
-    for (const auto &[peer, question] : questions)
-        peers_.send(peer, encodeReportMessage(question, now));
+    for (const auto &[peer, query] : queries)
+        peers_.send(peer, encodeReportMessage(query, now));
 }
 
 bool EngineView::receive(const PeerAddress &from, const std::string &frame, Millis now)
@@ -193,42 +194,41 @@
         return false;
     switch (message->kind) {
     case ReportMessageKind::Reports:
-        takeReports(from, message->reports);
+        handleReports(from, message->reports);
         break;
     case ReportMessageKind::FactsWanted:
-        answerFacts(from, message->wanted, now);
+        sendFacts(from, message->wanted, now);
         break;
     case ReportMessageKind::Facts:
         for (const EngineState &state : message->facts)
-            table_.learn(state);
+            table_.mergeFacts(state);
         break;
     }
     return true;
 }
 
-void EngineView::takeReports(const PeerAddress &from, const std::vector<EngineReport> &reports)
+void EngineView::handleReports(const PeerAddress &from, const std::vector<EngineReport> &reports)
 {
     for (const EngineReport &report : reports) {
-        const ReportNews news = table_.merge(report);
-        if (news == ReportNews::None)
+        const ReportMergeResult result = table_.merge(report);
+        if (result == ReportMergeResult::Unchanged)
             continue;
-        noteNews(report.engine, news);
-        teller_[report.engine] = from;
+        recordUpdate(report.engine, result);
+        lastReporter_[report.engine] = from;
     }
 }
 
-void EngineView::answerFacts(const PeerAddress &to, const std::vector<EngineKey> &wanted,
-                             Millis now)
+void EngineView::sendFacts(const PeerAddress &to, const std::vector<EngineKey> &wanted, Millis now)
 {
-    ReportMessage answer;
-    answer.kind = ReportMessageKind::Facts;
+    ReportMessage reply;
+    reply.kind = ReportMessageKind::Facts;
     for (const EngineKey engine : wanted) {
         const EngineState *state = table_.facts(engine);
-        if (state != nullptr && answer.facts.size() < maxFactsPerFrame)
-            answer.facts.push_back(*state);
+        if (state != nullptr && reply.facts.size() < maxFactsPerFrame)
+            reply.facts.push_back(*state);
     }
-    if (!answer.facts.empty())
-        peers_.send(to, encodeReportMessage(answer, now));
+    if (!reply.facts.empty())
+        peers_.send(to, encodeReportMessage(reply, now));
 }
 
 void EngineView::publishLoads(LiveLoads &loads,
--- a/modules/engineview/EngineView.h
+++ b/modules/engineview/EngineView.h
@@ -19,14 +19,14 @@
 namespace cuminrail {
 
 /**
-    Keeps what this instance knows of all engines up to date, with a bounded share of the work.
+    Keeps this instance's state of all engines up to date, at a bounded cost per instance.
 
-    Each engine is polled by one instance (pollerOf). What a poll or a peer brings is passed on
-    once, in frames gathered over a short span: loads to a few neighbours drawn at random, since
-    the next sample makes up for a member that was missed; changes of role, models or life whole
-    and to all neighbours, since work sent by the old ones fails. With n instances, e engines, poll
-   period p and fan-out f an instance sends e × f × 14 bytes each p, whatever n is, and polls e / n
-    engines each p.
+    Each engine is polled by one instance (pollerOf). Results of polls and updates from peers are
+    forwarded once, in frames that batch the updates of a short interval: loads go to a few random
+    neighbours, since the next sample reaches a member that was missed; changes of role, models or
+    incarnation go to all neighbours together with the facts, since requests sent according to the
+    previous facts fail. With n instances, e engines, poll period p and fan-out f an instance sends
+    e × f × 14 bytes per p, independent of n, and polls e / n engines per p.
 
     Runs on the control thread.
 
@@ -38,24 +38,27 @@
     struct Config
     {
         InstanceId self;
-        /** How often an engine is polled. */
+        /** Interval between polls of one engine. */
         Millis pollPeriod = Millis::seconds(4);
-        /** How long news is gathered before it is passed on. */
-        Millis gatherPeriod{250};
-        /** How many neighbours hear of each piece of news. */
+        /** Interval during which updates are batched before they are forwarded. */
+        Millis batchInterval{250};
+        /** Number of neighbours that receive each load report. */
         std::size_t fanOut = 3;
-        /** Polls that may be unanswered at once. */
-        std::size_t pollsInFlight = 32;
-        /** How often missing facts are asked for again. */
-        Millis askPeriod = Millis::seconds(1);
+        /** Maximum number of concurrent polls. */
+        std::size_t maxConcurrentPolls = 32;
+        /** Interval between queries for missing facts. */
+        Millis factsQueryInterval = Millis::seconds(1);
     };
 
-    /** What the view needs of the membership. */
+    /** Callbacks into the membership. */
     struct Hooks
     {
-        /** All members that are usable, this instance included. */
+        /** Returns all usable members, including this instance. */
         std::function<std::vector<MemberRecord>()> members;
-        /** Addresses of those that news is passed on to, one drawn at random at a time. */
+        /**
+            Returns the addresses to which updates may be forwarded; load reports go to a random
+            selection of them.
+        */
         std::function<std::vector<PeerAddress>()> neighbours;
     };
 
@@ -65,19 +68,22 @@
     EngineView(const EngineView &) = delete;
     EngineView &operator=(const EngineView &) = delete;
 
-    /** Takes the engines of newer settings. */
+    /** Sets the engines of newer settings. */
     void setEngines(const std::vector<EngineSettings> &engines);
 
-    /** Chooses anew which engines this instance polls; call after the membership changed. */
+    /** Recomputes which engines this instance polls; to be called after the membership changed. */
     void refreshPolled();
 
-    /** Polls what is due, passes news on, asks for missing facts. Call every 50 ms or so. */
+    /**
+        Polls engines that are due, forwards updates and queries missing facts. To be called about
+        every 50 ms.
+    */
     void tick(Millis now);
 
-    /** Takes a frame of channel EngineReports. Returns false for a malformed one. */
+    /** Handles a frame of FrameChannel::EngineReports. Returns false if it was malformed. */
     bool receive(const PeerAddress &from, const std::string &frame, Millis now);
 
-    /** Puts the known loads into the counters that routing reads. */
+    /** Writes the known loads to the counters that routing reads. */
     void publishLoads(LiveLoads &loads,
                       const std::function<UpstreamIndex(const UpstreamId &)> &index,
                       Millis now) const;
@@ -91,20 +97,20 @@
     struct Polled
     {
         UpstreamId engine;
-        Millis nextPoll{0};
+        Millis nextPollAt{0};
         bool inFlight = false;
     };
 
     void poll(Polled &polled, Millis now);
     void onPolled(const UpstreamId &engine, const std::optional<EngineState> &state);
-    void passOn(Millis now);
-    void askForFacts(Millis now);
-    void answerFacts(const PeerAddress &to, const std::vector<EngineKey> &wanted, Millis now);
-    void noteNews(EngineKey engine, ReportNews news);
-    void passOnChanges(Millis now);
+    void forwardUpdates(Millis now);
+    void queryFacts(Millis now);
+    void sendFacts(const PeerAddress &to, const std::vector<EngineKey> &wanted, Millis now);
+    void recordUpdate(EngineKey engine, ReportMergeResult result);
+    void forwardChanges(Millis now);
     std::string reportFrame(const std::set<EngineKey> &engines, Millis now) const;
-    void takeReports(const PeerAddress &from, const std::vector<EngineReport> &reports);
-    std::vector<PeerAddress> drawNeighbours();
+    void handleReports(const PeerAddress &from, const std::vector<EngineReport> &reports);
+    std::vector<PeerAddress> selectNeighbours();
 
     const Config config_;
     const EngineControl engines_;
@@ -112,18 +118,18 @@
     const Hooks hooks_;
     const RandomHook random_;
     Millis now_{0};
-    Millis nextPass_{0};
-    Millis nextAsk_{0};
+    Millis nextForwardAt_{0};
+    Millis nextFactsQueryAt_{0};
     std::size_t inFlight_ = 0;
     std::vector<EngineSettings> settings_;
     std::map<UpstreamId, Polled> polled_;
     ReportTable table_;
-    /** Engines whose newest sample has not been passed on. */
-    std::set<EngineKey> fresh_;
-    /** Engines whose facts changed, which has not been passed on. */
-    std::set<EngineKey> changed_;
-    /** Who last told of an engine: whom to ask for its facts. */
-    std::map<EngineKey, PeerAddress> teller_;
+    /** Engines whose newest sample has not been forwarded yet. */
+    std::set<EngineKey> unsentLoads_;
+    /** Engines whose changed facts have not been forwarded yet. */
+    std::set<EngineKey> unsentChanges_;
+    /** The peer that last sent a report of an engine, and that is queried for its facts. */
+    std::map<EngineKey, PeerAddress> lastReporter_;
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/modules/engineview/EngineView_test.cpp
+++ b/modules/engineview/EngineView_test.cpp
@@ -22,7 +22,7 @@
 
 } // namespace
 
-TEST_CASE("every instance learns of every engine, each polled by one")
+TEST_CASE("every instance receives the facts of every engine, each polled by one instance")
 {
     ViewCluster cluster(sizeOf(24, 60));
     std::size_t polled = 0;
@@ -34,9 +34,9 @@
         CHECK(cluster.informed(engine) == 24);
 }
 
-// An engine changes role and some instances still send it prompts that it refuses: callers see
-// errors until the last instance has heard.
-TEST_CASE("a new role is known everywhere within two polling periods and a little")
+// An engine changes its role, and instances that do not know this yet send it prompts that it
+// rejects: callers receive errors until the last instance is informed.
+TEST_CASE("all instances know a new role within little more than two polling periods")
 {
     ViewCluster cluster(sizeOf(24, 60, 5));
     cluster.runFor(Millis::seconds(30));
@@ -46,9 +46,9 @@
     CHECK(cluster.informed(7) == 24);
 }
 
-// A report looks a few milliseconds younger at each hop. Taken for news it goes round for ever, and
-// the instances' network is full of it although no engine has said anything new.
-TEST_CASE("each sample is passed on once by each instance, not round and round")
+// With each hop a report appears a few milliseconds more recent. If that counted as a new sample,
+// reports would circulate endlessly and saturate the network between instances.
+TEST_CASE("each instance forwards a sample once, without circulation")
 {
     constexpr std::size_t instances = 24;
     constexpr std::size_t engines = 120;
@@ -60,14 +60,14 @@
     constexpr std::size_t bytesOfReport = 14;
     const double samples = 60.0 / config.pollPeriod.toSeconds() * 1.1;
     const double frames = static_cast<double>(cluster.traffic().frames) * 16;
-    const double most = samples * engines * instances * config.fanOut * bytesOfReport + frames;
-    CHECK(static_cast<double>(cluster.traffic().bytes) < most);
-    CHECK(static_cast<double>(cluster.traffic().bytes) > most / 3);
+    const double maxBytes = samples * engines * instances * config.fanOut * bytesOfReport + frames;
+    CHECK(static_cast<double>(cluster.traffic().bytes) < maxBytes);
+    CHECK(static_cast<double>(cluster.traffic().bytes) > maxBytes / 3);
 }
 
-// The instance that polls an engine dies. Nobody would hear of the engine's load any more, and
-// all would route by a report that grows old.
-TEST_CASE("a dead poller's engines are polled by others")
+// The instance that polls an engine crashes. Unless another one takes over, no instance receives
+// the engine's load any more and routing uses an ever older report.
+TEST_CASE("other instances poll the engines of a crashed poller")
 {
     ViewCluster cluster(sizeOf(12, 40));
     cluster.runFor(Millis::seconds(20));
@@ -78,14 +78,14 @@
     }
     REQUIRE(cluster.view(busiest).polledCount() > 0);
     cluster.kill(busiest);
-    // Every report that anybody has is then from after the death. A single sample misses some
-    // instances, so the span covers several.
-    const Millis sinceDeath = Millis::seconds(20);
-    cluster.runFor(sinceDeath);
-    CHECK(cluster.oldestReport() < sinceDeath);
+    // Every report was then sampled after the crash. A single sample does not reach all instances,
+    // so the duration covers several.
+    const Millis timeSinceCrash = Millis::seconds(20);
+    cluster.runFor(timeSinceCrash);
+    CHECK(cluster.oldestReport() < timeSinceCrash);
 }
 
-// A frame that was on its way for long brings an engine's old role after the new one is known.
+// A delayed frame delivers an engine's previous role after the new one is known.
 TEST_CASE("an older sample or older facts never replace newer ones")
 {
     ReportTable table;
@@ -99,27 +99,28 @@
     const auto report = [&](const EngineState &state, std::int64_t at) {
         return EngineReport{engineKey(engine), factsHash(state), 0, 0, Millis(at)};
     };
-    REQUIRE(table.merge(report(decode, 2000)) == ReportNews::Load);
-    REQUIRE(table.learn(decode));
-    CHECK(table.merge(report(prefill, 1000)) == ReportNews::None);
-    CHECK_FALSE(table.learn(prefill));
+    REQUIRE(table.merge(report(decode, 2000)) == ReportMergeResult::NewSample);
+    REQUIRE(table.mergeFacts(decode));
+    CHECK(table.merge(report(prefill, 1000)) == ReportMergeResult::Unchanged);
+    CHECK_FALSE(table.mergeFacts(prefill));
     CHECK(table.facts(engineKey(engine))->role == EngineRole::Decode);
 
-    REQUIRE(table.merge(report(prefill, 3000)) == ReportNews::Facts);
+    REQUIRE(table.merge(report(prefill, 3000)) == ReportMergeResult::FactsChanged);
     CHECK(table.unknownFacts() == std::vector<EngineKey>{engineKey(engine)});
-    REQUIRE(table.learn(prefill));
+    REQUIRE(table.mergeFacts(prefill));
     CHECK(table.unknownFacts().empty());
 }
 
-TEST_CASE("reports of engines that settings do not know are ignored")
+TEST_CASE("reports of engines that are not in the settings are ignored")
 {
     ReportTable table;
     table.setEngines({UpstreamId("e1")});
-    CHECK(table.merge({engineKey(UpstreamId("e2")), 1, 0, 0, Millis(1)}) == ReportNews::None);
+    CHECK(table.merge({engineKey(UpstreamId("e2")), 1, 0, 0, Millis(1)})
+          == ReportMergeResult::Unchanged);
     CHECK(table.reports().empty());
 }
 
-TEST_CASE("messages read back, ages travelling as spans")
+TEST_CASE("messages survive encoding and decoding, with sample times sent as ages")
 {
     const Millis sent{100000};
     const Millis received{5000000};
@@ -149,9 +150,9 @@
     CHECK(factsHash(readFacts->facts[0]) == factsHash(state));
 }
 
-// A frame is cut short or altered on its way, or a program with the shared secret sends nonsense.
-// The control thread must neither fall over nor believe it.
-TEST_CASE("a frame cut short or altered is refused or harmless")
+// A frame is truncated or altered in transit, or a program with the shared secret sends garbage.
+// The control thread must neither crash nor accept it.
+TEST_CASE("a truncated or altered frame is rejected or has no effect")
 {
     ReportMessage message;
     message.reports.push_back({7, 8, 9, 10, Millis(0)});
@@ -161,9 +162,9 @@
 
     ReportTable table;
     table.setEngines({UpstreamId("e1")});
-    for (std::size_t place = 0; place < good.size(); ++place) {
+    for (std::size_t index = 0; index < good.size(); ++index) {
         std::string altered = good;
-        altered[place] = static_cast<char>(altered[place] ^ 0x5a);
+        altered[index] = static_cast<char>(altered[index] ^ 0x5a);
         const auto read = decodeReportMessage(altered, Millis(0));
         for (const EngineReport &report : read ? read->reports : std::vector<EngineReport>())
             table.merge(report);
@@ -171,12 +172,12 @@
     CHECK(table.reports().empty());
 }
 
-TEST_CASE("engines are polled by members of their own failure domain while there are any")
+TEST_CASE("engines are polled by members of their own failure domain if there are any")
 {
     std::vector<MemberRecord> members(4);
-    for (std::size_t place = 0; place < members.size(); ++place) {
-        members[place].id = InstanceId("i" + std::to_string(place));
-        members[place].domain = FailureDomainId(place < 2 ? "near" : "far");
+    for (std::size_t index = 0; index < members.size(); ++index) {
+        members[index].id = InstanceId("i" + std::to_string(index));
+        members[index].domain = FailureDomainId(index < 2 ? "near" : "far");
     }
     for (int engine = 0; engine < 50; ++engine) {
         const UpstreamId id("e" + std::to_string(engine));
--- a/modules/engineview/engineview.h
+++ b/modules/engineview/engineview.h
@@ -1,10 +1,11 @@
 #pragma once
 
 /**
-    What all instances know of all engines: role, models, load, with its age.
+    The state of all engines as known to every instance: role, models and load, with its age.
 
-    Purpose: 370 instances asking 840 engines each second would be 310,000 calls a second. Here each
-    engine is asked by one instance, the others hear of it from peers, newest sample first.
+    Purpose: if each of 370 instances polled each of 840 engines every second, that would be 310,000
+    calls per second. Instead each engine is polled by one instance, and the others receive its
+    newest sample from peers.
 
     Depends on: core, ports, settings, membership (frames), routing (live facts).
 */
--- a/modules/engineview/measure/ViewCluster.cpp
+++ b/modules/engineview/measure/ViewCluster.cpp
@@ -10,9 +10,9 @@
 constexpr Millis tickPeriod{50};
 constexpr std::uint64_t percent = 100;
 
-FailureDomainId domainOf(std::size_t place, std::size_t domains)
+FailureDomainId domainOf(std::size_t index, std::size_t domains)
 {
-    return FailureDomainId("d" + std::to_string(place % domains));
+    return FailureDomainId("d" + std::to_string(index % domains));
 }
 
 } // namespace
@@ -43,7 +43,7 @@
     for (std::size_t instance = 0; instance < size.instances; ++instance) {
         EngineView::Config config;
         config.self = members_[instance].id;
-        const EngineView::Hooks hooks = {[this] { return livingMembers(); },
+        const EngineView::Hooks hooks = {[this] { return runningMembers(); },
                                          [this, instance] { return neighboursOf(instance); }};
         views_.push_back(std::make_unique<EngineView>(config, engineControl(), transport(instance),
                                                       hooks, scheduler_.random()));
@@ -96,8 +96,8 @@
     EngineControl control;
     control.readState = [this](const UpstreamId &engine, auto done) {
         ++traffic_.polls;
-        const std::size_t place = byEngine_.at(engine);
-        scheduler_.after(linkDelay, [this, place, done] { done(states_[place]); });
+        const std::size_t index = byEngine_.at(engine);
+        scheduler_.after(linkDelay, [this, index, done] { done(states_[index]); });
     };
     return control;
 }
@@ -124,14 +124,14 @@
     });
 }
 
-std::vector<MemberRecord> ViewCluster::livingMembers() const
+std::vector<MemberRecord> ViewCluster::runningMembers() const
 {
-    std::vector<MemberRecord> living;
+    std::vector<MemberRecord> running;
     for (std::size_t instance = 0; instance < members_.size(); ++instance) {
         if (alive_[instance])
-            living.push_back(members_[instance]);
+            running.push_back(members_[instance]);
     }
-    return living;
+    return running;
 }
 
 std::vector<PeerAddress> ViewCluster::neighboursOf(std::size_t instance) const
--- a/modules/engineview/measure/ViewCluster.h
+++ b/modules/engineview/measure/ViewCluster.h
@@ -12,10 +12,10 @@
 namespace cuminrail {
 
 /**
-    Many engine views in virtual time, joined by an in-memory link that counts bytes.
+    Several engine views in virtual time, connected by a simulated network that counts bytes.
 
-    For tests and for measuring what the view costs at a size; engines answer at once with what
-    engineState() holds. Links lose a share of the frames.
+    For tests and for measuring the cost for a given size. Engines respond to a poll immediately
+    with engineState(). The network loses a share of the frames.
 */
 class ViewCluster
 {
@@ -25,7 +25,7 @@
         std::size_t instances = 6;
         std::size_t engines = 12;
         std::size_t domains = 3;
-        /** Frames lost, in a hundred. */
+        /** Percentage of frames lost. */
         std::uint64_t lossPercent = 0;
         std::uint64_t seed = 1;
     };
@@ -37,18 +37,18 @@
     void runFor(Millis span) { scheduler_.runFor(span); }
     Millis now() const { return scheduler_.now(); }
 
-    /** The state that an engine gives when it is polled next. */
+    /** Returns the state that an engine will return when polled next. */
     EngineState &engineState(std::size_t engine) { return states_[engine]; }
     EngineView &view(std::size_t instance) { return *views_[instance]; }
-    /** Ends an instance; the others hear of it at once. */
+    /** Stops an instance; the others are notified immediately. */
     void kill(std::size_t instance);
 
-    /** Returns how many living instances know this engine with its current facts. */
+    /** Returns how many running instances know the current facts of this engine. */
     std::size_t informed(std::size_t engine) const;
-    /** Returns the age of the oldest report that any living instance has of any engine. */
+    /** Returns the age of the oldest report of any engine on any running instance. */
     Millis oldestReport() const;
 
-    /** Counts over all instances since the last reset. */
+    /** Totals over all instances since the last reset. */
     struct Traffic
     {
         std::uint64_t bytes = 0;
@@ -62,7 +62,7 @@
     EngineControl engineControl();
     PeerTransport transport(std::size_t from);
     void deliver(std::size_t from, const PeerAddress &to, const std::string &frame);
-    std::vector<MemberRecord> livingMembers() const;
+    std::vector<MemberRecord> runningMembers() const;
     std::vector<PeerAddress> neighboursOf(std::size_t instance) const;
 
     const Size size_;
--- a/modules/engineview/poll/PollerChoice.cpp
+++ b/modules/engineview/poll/PollerChoice.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-std::uint64_t rank(const UpstreamId &engine, const InstanceId &instance)
+std::uint64_t hashOf(const UpstreamId &engine, const InstanceId &instance)
 {
     return StableHash().add(engine.text()).add(instance.text()).value();
 }
@@ -19,18 +19,18 @@
                     const std::vector<MemberRecord> &members)
 {
     const MemberRecord *best = nullptr;
-    std::uint64_t bestRank = 0;
-    bool bestIsNear = false;
+    std::uint64_t bestHash = 0;
+    bool bestIsLocal = false;
     for (const MemberRecord &member : members) {
-        const bool isNear = member.domain == domain;
-        if (bestIsNear && !isNear)
+        const bool isLocal = member.domain == domain;
+        if (bestIsLocal && !isLocal)
             continue;
-        const std::uint64_t memberRank = rank(engine, member.id);
-        const bool isNearer = isNear && !bestIsNear;
-        if (best == nullptr || isNearer || memberRank > bestRank) {
+        const std::uint64_t memberHash = hashOf(engine, member.id);
+        const bool isFirstLocal = isLocal && !bestIsLocal;
+        if (best == nullptr || isFirstLocal || memberHash > bestHash) {
             best = &member;
-            bestRank = memberRank;
-            bestIsNear = isNear;
+            bestHash = memberHash;
+            bestIsLocal = isLocal;
         }
     }
     return best == nullptr ? InstanceId() : best->id;
--- a/modules/engineview/poll/PollerChoice.h
+++ b/modules/engineview/poll/PollerChoice.h
@@ -8,14 +8,15 @@
 namespace cuminrail {
 
 /**
-    Returns the instance that asks this engine for its state.
+    Returns the instance that polls this engine.
 
-    Chosen among usable members in the engine's failure domain, or among all of them when there is
-    none, by the highest hash of both names. Every instance comes to the same answer without a
-    message, and a member that goes takes only its own engines with it. Two that differ for a
-    moment both ask, which costs a call and harms nothing, so no lease is needed.
+    Rendezvous hashing: the instance with the highest hash of both names, among the usable members
+    in the engine's failure domain, or among all usable members if there is none. All instances
+    compute the same result without exchanging messages, and if a member leaves, only its own
+    engines are reassigned. While views differ, two instances may poll the same engine, which only
+    costs a call; therefore no lease is needed.
 
-    @param members  all members, this instance included
+    @param members  all members, including this instance
 */
 InstanceId pollerOf(const UpstreamId &engine, const FailureDomainId &domain,
                     const std::vector<MemberRecord> &members);
--- a/modules/engineview/reports/EngineReport.h
+++ b/modules/engineview/reports/EngineReport.h
@@ -9,20 +9,20 @@
 
 namespace cuminrail {
 
-/** Names an engine in reports, in four bytes where its name would take twenty. */
+/** Identifies an engine in reports, in four bytes where its name would take twenty. */
 using EngineKey = std::uint32_t;
 
-/** Returns an engine's key. Two engines of one fleet with the same key are told apart by none. */
+/** Returns an engine's key. Two engines of one fleet whose keys collide cannot be distinguished. */
 EngineKey engineKey(const UpstreamId &engine);
 
-/** Returns a number that changes whenever role, models, adapters or incarnation do. */
+/** Returns a hash over incarnation, role, models and adapters. */
 std::uint32_t factsHash(const EngineState &state);
 
 /**
-    One sample of one engine: what changes from second to second.
+    One sample of an engine's state: the part that changes from second to second.
 
-    Models and adapters change rarely and are long; a report names them by their hash, and who does
-    not know the hash asks the sender.
+    Models and adapters change rarely and are long, so a report only contains their hash; a receiver
+    that does not know the hash queries the sender.
 */
 struct EngineReport
 {
@@ -30,7 +30,7 @@
     std::uint32_t facts = 0;
     std::uint16_t running = 0;
     std::uint16_t waiting = 0;
-    /** When the engine sampled it, by this instance's clock. Travels as an age. */
+    /** Time of the sample, by this instance's clock. Sent as an age. */
     Millis sampledAt;
 };
 
--- a/modules/engineview/reports/ReportCodec.cpp
+++ b/modules/engineview/reports/ReportCodec.cpp
@@ -20,15 +20,15 @@
 
 void appendNumber(std::string &bytes, std::uint64_t number, std::size_t width)
 {
-    for (std::size_t place = width; place-- > 0;)
-        bytes.push_back(static_cast<char>(number >> (8 * place)));
+    for (std::size_t position = width; position-- > 0;)
+        bytes.push_back(static_cast<char>(number >> (8 * position)));
 }
 
-std::uint64_t readNumber(const std::string &bytes, std::size_t &place, std::size_t width)
+std::uint64_t readNumber(const std::string &bytes, std::size_t &position, std::size_t width)
 {
     std::uint64_t number = 0;
     for (std::size_t index = 0; index < width; ++index)
-        number = (number << 8) | static_cast<unsigned char>(bytes[place++]);
+        number = (number << 8) | static_cast<unsigned char>(bytes[position++]);
     return number;
 }
 
@@ -42,15 +42,15 @@
     appendNumber(bytes, std::min<std::uint64_t>(maxAge, age / ageUnit), 2);
 }
 
-EngineReport readReport(const std::string &bytes, std::size_t &place, Millis now)
+EngineReport readReport(const std::string &bytes, std::size_t &position, Millis now)
 {
     EngineReport report;
-    report.engine = static_cast<EngineKey>(readNumber(bytes, place, 4));
-    report.facts = static_cast<std::uint32_t>(readNumber(bytes, place, 4));
-    report.running = static_cast<std::uint16_t>(readNumber(bytes, place, 2));
-    report.waiting = static_cast<std::uint16_t>(readNumber(bytes, place, 2));
+    report.engine = static_cast<EngineKey>(readNumber(bytes, position, 4));
+    report.facts = static_cast<std::uint32_t>(readNumber(bytes, position, 4));
+    report.running = static_cast<std::uint16_t>(readNumber(bytes, position, 2));
+    report.waiting = static_cast<std::uint16_t>(readNumber(bytes, position, 2));
     report.sampledAt =
-        now - Millis(static_cast<std::int64_t>(readNumber(bytes, place, 2)) * ageUnit);
+        now - Millis(static_cast<std::int64_t>(readNumber(bytes, position, 2)) * ageUnit);
     return report;
 }
 
@@ -90,8 +90,8 @@
     const std::string bytes = array.bytes(maxReportsPerFrame * reportBytes);
     if (!array.isWhole() || bytes.size() % reportBytes != 0)
         return false;
-    for (std::size_t place = 0; place < bytes.size();)
-        message.reports.push_back(readReport(bytes, place, now));
+    for (std::size_t position = 0; position < bytes.size();)
+        message.reports.push_back(readReport(bytes, position, now));
     return true;
 }
 
--- a/modules/engineview/reports/ReportCodec.h
+++ b/modules/engineview/reports/ReportCodec.h
@@ -9,15 +9,15 @@
 namespace cuminrail {
 
 enum class ReportMessageKind : std::uint8_t {
-    /** Samples of loads. */
+    /** Load samples. */
     Reports = 1,
-    /** "Tell me the facts of these engines." */
+    /** Query for the facts of these engines. */
     FactsWanted = 2,
     /** Role, models, adapters and incarnation of engines. */
     Facts = 3,
 };
 
-/** A message between instances about engines; one of the lists is filled, by kind. */
+/** A message about engines between instances; the kind determines which of the lists is set. */
 struct ReportMessage
 {
     ReportMessageKind kind = ReportMessageKind::Reports;
@@ -26,19 +26,20 @@
     std::vector<EngineState> facts;
 };
 
-/** Reports in one frame at the most; more go into further frames. */
+/** Maximum number of reports in one frame; the rest go into further frames. */
 inline constexpr std::size_t maxReportsPerFrame = 2048;
-/** Facts in one frame at the most. */
+/** Maximum number of facts in one frame. */
 inline constexpr std::size_t maxFactsPerFrame = 64;
 
 /**
-    Encodes a message. Sample times travel as ages, since no two machines' clocks compare.
+    Encodes a message. Sample times are sent as ages, because the clocks of two machines cannot be
+    compared.
 
     A report takes 14 bytes: key 4, facts 4, running 2, waiting 2, age 2 (in units of 10 ms).
 */
 std::string encodeReportMessage(const ReportMessage &message, Millis now);
 
-/** Decodes a frame; nothing for one that is malformed or over the bounds. */
+/** Decodes a frame; returns nothing if it is malformed or exceeds a limit. */
 std::optional<ReportMessage> decodeReportMessage(const std::string &frame, Millis now);
 
 } // namespace cuminrail
--- a/modules/engineview/reports/ReportTable.cpp
+++ b/modules/engineview/reports/ReportTable.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-template<typename Map, typename Kept>
-void eraseAllBut(Map &map, const Kept &kept)
+template<typename Map, typename Keys>
+void retainKeys(Map &map, const Keys &keys)
 {
     for (auto entry = map.begin(); entry != map.end();)
-        entry = kept.count(entry->first) > 0 ? std::next(entry) : map.erase(entry);
+        entry = keys.count(entry->first) > 0 ? std::next(entry) : map.erase(entry);
 }
 
 } // namespace
@@ -18,29 +18,30 @@
     engines_.clear();
     for (const UpstreamId &engine : engines)
         engines_[engineKey(engine)] = engine;
-    eraseAllBut(reports_, engines_);
-    eraseAllBut(facts_, engines_);
+    retainKeys(reports_, engines_);
+    retainKeys(facts_, engines_);
     ++factsRevision_;
 }
 
-ReportNews ReportTable::merge(const EngineReport &report)
+ReportMergeResult ReportTable::merge(const EngineReport &report)
 {
     if (engines_.count(report.engine) == 0)
-        return ReportNews::None;
+        return ReportMergeResult::Unchanged;
     const auto [entry, isFirst] = reports_.emplace(report.engine, report);
-    // A first report is most often news to this instance alone, which has just started. Passed on
-    // as a change it would send the whole fleet's facts to all neighbours at every restart.
+    // The first report of an engine is usually new only to this instance, because it has just
+    // started. If it were forwarded as a change, every restart would send the facts of the whole
+    // fleet to all neighbours.
     if (isFirst)
-        return ReportNews::Load;
+        return ReportMergeResult::NewSample;
     EngineReport &known = entry->second;
     if (report.sampledAt < known.sampledAt + sampleStep)
-        return ReportNews::None;
+        return ReportMergeResult::Unchanged;
     const bool sameFacts = report.facts == known.facts;
     known = report;
-    return sameFacts ? ReportNews::Load : ReportNews::Facts;
+    return sameFacts ? ReportMergeResult::NewSample : ReportMergeResult::FactsChanged;
 }
 
-bool ReportTable::learn(const EngineState &state)
+bool ReportTable::mergeFacts(const EngineState &state)
 {
     const EngineKey key = engineKey(state.engine);
     const auto engine = engines_.find(key);
@@ -48,8 +49,8 @@
         return false;
     const EngineReport *report = find(key);
     const std::uint32_t hash = factsHash(state);
-    // Facts travel another way than reports and may be older. Taken without a look at the newest
-    // report they would bring back a role that the engine has given up.
+    // Facts take another path than reports and may be older. Without the comparison with the newest
+    // report they could restore a role that the engine no longer has.
     if (report == nullptr || report->facts != hash)
         return false;
     Known &known = facts_[key];
--- a/modules/engineview/reports/ReportTable.h
+++ b/modules/engineview/reports/ReportTable.h
@@ -8,44 +8,47 @@
 
 namespace cuminrail {
 
-/** What a report brought. */
-enum class ReportNews : std::uint8_t {
-    /** Known already, or older than what is known, or of an engine that settings do not name. */
-    None,
-    /** A newer sample of the same facts. */
-    Load,
-    /** The engine's role, models, adapters or life changed. */
-    Facts,
+/** The effect of merging a report. */
+enum class ReportMergeResult : std::uint8_t {
+    /**
+        The report was known, is older than the known one or belongs to an engine that is not in the
+        settings.
+    */
+    Unchanged,
+    /** A newer sample with the same facts. */
+    NewSample,
+    /** The engine's role, models, adapters or incarnation changed. */
+    FactsChanged,
 };
 
 /**
-    The newest report of each engine, and the facts that reports refer to.
+    The newest report of each engine, and the facts that the reports refer to.
 
-    Of two reports of one engine the one sampled later wins, whichever way it came; so reports may
-    arrive twice, late and in any order.
+    Of two reports of an engine the one sampled later wins, whatever path it took; reports may
+    therefore arrive repeatedly, late and in any order.
 */
 class ReportTable
 {
 public:
     /**
-        How much later a sample must be to count as another one.
+        Minimum difference between the times of two samples.
 
-        A sample travels as an age, and the time on the way and the rounding are not part of it:
-        with every hop it looks a little younger. Taken as news again it would go round among the
-        instances for ever.
+        A sample is sent as an age, which does not include the transit time and is rounded, so that
+        with every hop it appears slightly more recent. If that counted as a new sample, it would
+        circulate among the instances endlessly.
     */
     static constexpr Millis sampleStep{1000};
 
-    /** Sets which engines there are; reports of others are ignored. */
+    /** Sets the known engines; reports of others are ignored. */
     void setEngines(const std::vector<UpstreamId> &engines);
 
-    /** Takes a report, unless it is older than what is known. */
-    ReportNews merge(const EngineReport &report);
+    /** Merges a report, unless it is older than the known one. */
+    ReportMergeResult merge(const EngineReport &report);
 
-    /** Takes an engine's facts. Returns true when they are the ones its newest report refers to. */
-    bool learn(const EngineState &state);
+    /** Merges an engine's facts. Returns true if its newest report refers to them. */
+    bool mergeFacts(const EngineState &state);
 
-    /** Returns engines whose newest report refers to facts that are not known here. */
+    /** Returns the engines whose newest report refers to facts that are unknown here. */
     std::vector<EngineKey> unknownFacts() const;
 
     /** Returns the report of an engine, or null. */
@@ -53,10 +56,10 @@
     const EngineState *facts(EngineKey engine) const;
     const std::map<EngineKey, EngineReport> &reports() const { return reports_; }
 
-    /** Returns every engine whose facts are known. */
+    /** Returns the state of every engine whose facts are known. */
     std::vector<const EngineState *> knownFacts() const;
 
-    /** Rises whenever what knownFacts() returns has changed. */
+    /** Incremented whenever the result of knownFacts() changes. */
     std::uint64_t factsRevision() const { return factsRevision_; }
 
 private:
