--- a/modules/capacity/capacity.h
+++ b/modules/capacity/capacity.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /**
-    How many engines there are, of which kind, and in which role.
+    Number, cost class and role of engines.
 
-    Purpose: role changes on sustained evidence of the prompt-to-output mix, and the platform's
-    upstream targets by failure domain and cost class. Decisions are pure; FleetKeeper carries the
-    targets to the platform as OrderKeeper carries role changes to engines. See
-    docs/CAPACITY-CONTROL.md.
+    Purpose: changes the role of engines after a sustained change of the ratio of prompt to output
+    work, and sets the platform's upstream targets by failure domain and cost class. Decisions are
+    pure functions of their input and of previous decisions; FleetManager declares the targets to
+    the platform as OrderManager sends role changes to engines. See docs/CAPACITY-CONTROL.md.
 
-    Runs on an instance's control thread alone.
+    Runs only on an instance's control thread.
 
     Depends on: core, ports, settings, lease, orders, nlohmann-json.
 */
--- a/modules/capacity/fleet/FleetKeeper.cpp
+++ b/modules/capacity/fleet/FleetKeeper.cpp
@@ -10,7 +10,7 @@
 using Json = nlohmann::json;
 
 namespace {
-constexpr Millis retryEvery{1000};
+constexpr Millis retryInterval{1000};
 constexpr Millis sendMargin{1000};
 } // namespace
 
@@ -30,7 +30,7 @@
 {
     const Json json = Json::parse(text, nullptr, false);
     if (!json.is_object()) {
-        fail(lastReason, "fleet target", "no JSON object");
+        fail(lastReason, "fleet target", "value is not a JSON object");
         return std::nullopt;
     }
     try {
@@ -50,12 +50,13 @@
 { }
 
 template<typename Reply>
-std::function<void(const Reply &)> FleetKeeper::current(void (FleetKeeper::*method)(const Reply &))
+std::function<void(const Reply &)>
+FleetKeeper::forCurrentEpoch(void (FleetKeeper::*method)(const Reply &))
 {
     return [this, method, epoch = epoch_](const Reply &reply) {
         if (epoch != epoch_)
             return;
-        busy_ = false;
+        isCallPending_ = false;
         (this->*method)(reply);
     };
 }
@@ -64,13 +65,13 @@
 {
     lost();
     stage_ = Stage::Reading;
-    nextAt_ = hooks_.clock.now();
+    nextAttemptAt_ = hooks_.clock.now();
 }
 
 void FleetKeeper::lost()
 {
     ++epoch_;
-    busy_ = false;
+    isCallPending_ = false;
     record_ = FleetRecord{};
     stage_ = Stage::Off;
 }
@@ -90,7 +91,9 @@
     return authority;
 }
 
-/** As for orders to engines: rises with each target, also when a lease comes back as it was. */
+/**
+    As for orders to engines: increases with each target, also if the same lease is acquired again.
+*/
 FenceNumber FleetKeeper::nextFence(const Authority &authority)
 {
     if (authority.fence != sequenceFence_)
@@ -101,11 +104,12 @@
 
 void FleetKeeper::retryLater()
 {
-    const auto drawn = hooks_.random() % static_cast<std::uint64_t>(retryEvery.count());
-    nextAt_ = hooks_.clock.now() + retryEvery / 2 + Millis(static_cast<std::int64_t>(drawn));
+    const auto jitter = hooks_.random() % static_cast<std::uint64_t>(retryInterval.count());
+    nextAttemptAt_ =
+        hooks_.clock.now() + retryInterval / 2 + Millis(static_cast<std::int64_t>(jitter));
 }
 
-void FleetKeeper::backToReading()
+void FleetKeeper::restartReading()
 {
     stage_ = Stage::Reading;
     retryLater();
@@ -113,7 +117,7 @@
 
 void FleetKeeper::tick()
 {
-    if (busy_ || hooks_.clock.now() < nextAt_)
+    if (isCallPending_ || hooks_.clock.now() < nextAttemptAt_)
         return;
     if (stage_ == Stage::Reading)
         read();
@@ -125,10 +129,10 @@
 {
     const std::string where = FleetRecord::path(zone_);
     if (stage_ != Stage::Idle)
-        return fail(lastReason, where, "another target is not settled");
+        return fail(lastReason, where, "previous target is not settled yet");
     const auto authority = usableAuthority();
     if (!authority)
-        return fail(lastReason, where, "this instance is not in charge");
+        return fail(lastReason, where, "this instance holds no valid lease for this duty");
     record_.count = count;
     record_.fence = nextFence(*authority);
     record_.clientToken = std::to_string(authority->fence) + "-" + std::to_string(hooks_.random());
@@ -143,11 +147,12 @@
 
 void FleetKeeper::read()
 {
-    busy_ = true;
-    hooks_.store.get(FleetRecord::path(zone_), current<StoreReply>(&FleetKeeper::readDone));
+    isCallPending_ = true;
+    hooks_.store.get(FleetRecord::path(zone_),
+                     forCurrentEpoch<StoreReply>(&FleetKeeper::handleRead));
 }
 
-void FleetKeeper::readDone(const StoreReply &reply)
+void FleetKeeper::handleRead(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::NotFound) {
         version_ = 0;
@@ -170,8 +175,9 @@
         stage_ = Stage::Idle;
         return;
     }
-    // A former holder may have declared this target, or be about to. It is declared again as it
-    // stands, under the new fence: the platform then refuses whatever the former holder sends.
+    // A previous holder may have declared this target, or may still do so. The target is declared
+    // again unchanged but with the new fence, so that the platform rejects late messages of the
+    // previous holder.
     if (record_.fence < authority->fence * ordersPerHolder) {
         record_.fence = nextFence(*authority);
         write(Stage::Recording);
@@ -183,17 +189,17 @@
 void FleetKeeper::write(Stage stage)
 {
     stage_ = stage;
-    busy_ = true;
-    const auto method =
-        stage == Stage::Recording ? &FleetKeeper::recorded : &FleetKeeper::resultRecorded;
+    isCallPending_ = true;
+    const auto method = stage == Stage::Recording ? &FleetKeeper::handleRecorded
+                                                  : &FleetKeeper::handleResultRecorded;
     hooks_.store.put({FleetRecord::path(zone_), record_.toText(), version_},
-                     current<StoreReply>(method));
+                     forCurrentEpoch<StoreReply>(method));
 }
 
-void FleetKeeper::recorded(const StoreReply &reply)
+void FleetKeeper::handleRecorded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
-        backToReading();
+        restartReading();
         return;
     }
     version_ = reply.version;
@@ -204,11 +210,11 @@
 {
     const auto authority = usableAuthority();
     if (!authority) {
-        backToReading();
+        restartReading();
         return;
     }
     stage_ = Stage::Declaring;
-    busy_ = true;
+    isCallPending_ = true;
     FleetTarget target;
     target.domain = zone_.domain;
     target.costClass = zone_.costClass;
@@ -219,10 +225,10 @@
     hooks_.events(
         Event{&events::fleetTargetDeclared,
               {{"zone", FleetRecord::path(zone_)}, {"count", std::to_string(record_.count)}}});
-    hooks_.fleet.setTarget(target, current<OrderReply>(&FleetKeeper::declared));
+    hooks_.fleet.setTarget(target, forCurrentEpoch<OrderReply>(&FleetKeeper::handleDeclared));
 }
 
-void FleetKeeper::declared(const OrderReply &reply)
+void FleetKeeper::handleDeclared(const OrderReply &reply)
 {
     if (reply.status == OrderStatus::Accepted) {
         settle();
@@ -235,12 +241,13 @@
 
 void FleetKeeper::readBack()
 {
-    busy_ = true;
-    hooks_.fleet.readTarget(zone_.domain, zone_.costClass,
-                            current<std::optional<FleetStatus>>(&FleetKeeper::readBackDone));
+    isCallPending_ = true;
+    hooks_.fleet.readTarget(
+        zone_.domain, zone_.costClass,
+        forCurrentEpoch<std::optional<FleetStatus>>(&FleetKeeper::handleReadBack));
 }
 
-void FleetKeeper::readBackDone(const std::optional<FleetStatus> &status)
+void FleetKeeper::handleReadBack(const std::optional<FleetStatus> &status)
 {
     retryLater();
     if (!status)
@@ -250,7 +257,8 @@
         settle();
         return;
     }
-    // The same number with the same token: whether the first one still arrives does not matter.
+    // Number and token are the same, so it does not matter whether the first declaration still
+    // arrives.
     if (target.fence <= record_.fence)
         declare();
 }
@@ -261,10 +269,10 @@
     write(Stage::RecordingResult);
 }
 
-void FleetKeeper::resultRecorded(const StoreReply &reply)
+void FleetKeeper::handleResultRecorded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
-        backToReading();
+        restartReading();
         return;
     }
     version_ = reply.version;
--- a/modules/capacity/fleet/FleetKeeper.h
+++ b/modules/capacity/fleet/FleetKeeper.h
@@ -22,7 +22,7 @@
     std::uint32_t count = 0;
     FenceNumber fence = 0;
     std::string clientToken;
-    /** The platform has confirmed the target. */
+    /** True once the platform has confirmed the target. */
     bool isSettled = false;
 
     std::string toText() const;
@@ -31,11 +31,12 @@
 };
 
 /**
-    Declares one zone's target to the platform, as the holder of the failure domain's duty.
+    Declares the target of one zone to the platform, as holder of the lease for the failure domain's
+    duty.
 
-    The target is recorded before it is declared, and one is outstanding at a time. A declared
-    target is the whole number, with a token: declaring it again changes nothing, so a result that
-    is unknown is read back and, if need be, declared again before another one follows.
+    A target is recorded before it is declared, and only one is outstanding at a time. A declaration
+    contains the total number and a token, so repeating it has no effect: if the result is unknown,
+    the target is read back and, if necessary, declared again before another one follows.
 */
 class FleetKeeper
 {
@@ -54,15 +55,15 @@
     FleetKeeper(const FleetKeeper &) = delete;
     FleetKeeper &operator=(const FleetKeeper &) = delete;
 
-    /** The duty's lease was taken. */
+    /** Called when the duty's lease was acquired. */
     void taken();
-    /** The duty's lease was lost or is being given back. */
+    /** Called when the duty's lease was lost or is about to be released. */
     void lost();
-    /** Does what is due. */
+    /** Performs the actions that are due. */
     void tick();
-    /** Declares a target. Refuses while another one is not settled or without authority. */
+    /** Declares a target. Fails while another one is not settled, or without a valid lease. */
     bool request(std::uint32_t count, Reason *lastReason);
-    /** Returns true when a target could be declared now. */
+    /** Returns true if a target could be declared now. */
     bool isIdle() const { return stage_ == Stage::Idle; }
     /** Returns the last recorded target. */
     std::optional<FleetRecord> last() const;
@@ -79,29 +80,29 @@
     };
 
     template<typename Reply>
-    std::function<void(const Reply &)> current(void (FleetKeeper::*method)(const Reply &));
+    std::function<void(const Reply &)> forCurrentEpoch(void (FleetKeeper::*method)(const Reply &));
 
     std::optional<Authority> usableAuthority() const;
     FenceNumber nextFence(const Authority &authority);
     void read();
-    void readDone(const StoreReply &reply);
+    void handleRead(const StoreReply &reply);
     void write(Stage stage);
-    void recorded(const StoreReply &reply);
-    void resultRecorded(const StoreReply &reply);
+    void handleRecorded(const StoreReply &reply);
+    void handleResultRecorded(const StoreReply &reply);
     void declare();
-    void declared(const OrderReply &reply);
+    void handleDeclared(const OrderReply &reply);
     void readBack();
-    void readBackDone(const std::optional<FleetStatus> &status);
+    void handleReadBack(const std::optional<FleetStatus> &status);
     void settle();
     void retryLater();
-    void backToReading();
+    void restartReading();
 
     Zone zone_;
     Hooks hooks_;
     Stage stage_ = Stage::Off;
     std::uint64_t epoch_ = 0;
-    bool busy_ = false;
-    Millis nextAt_;
+    bool isCallPending_ = false;
+    Millis nextAttemptAt_;
     ObjectVersion version_ = 0;
     FleetRecord record_;
     FenceNumber sequence_ = 0;
--- a/modules/capacity/fleet/FleetKeeper_test.cpp
+++ b/modules/capacity/fleet/FleetKeeper_test.cpp
@@ -17,10 +17,10 @@
 {
     FakeProcessPtr process;
     Authority lease;
-    std::unique_ptr<FleetKeeper> keeper;
+    std::unique_ptr<FleetKeeper> manager;
 };
 
-class World
+class Simulation
 {
 public:
     FakeScheduler scheduler;
@@ -45,8 +45,8 @@
                                          return std::nullopt;
                                      return holder.lease;
                                  }};
-        holder.keeper = std::make_unique<FleetKeeper>(zone, std::move(hooks));
-        holder.keeper->taken();
+        holder.manager = std::make_unique<FleetKeeper>(zone, std::move(hooks));
+        holder.manager->taken();
         return holder;
     }
 
@@ -57,15 +57,15 @@
             scheduler.runFor(Millis(50));
             for (auto &holder : holders) {
                 if (holder->process->isRunning(scheduler.now()))
-                    holder->keeper->tick();
+                    holder->manager->tick();
             }
         }
     }
 
-    bool insist(Holder &holder, std::uint32_t count)
+    bool requestUntilAccepted(Holder &holder, std::uint32_t count)
     {
         for (int i = 0; i < 300; ++i) {
-            if (holder.keeper->request(count, nullptr))
+            if (holder.manager->request(count, nullptr))
                 return true;
             run(Millis(100));
         }
@@ -77,17 +77,17 @@
 
 } // namespace
 
-// The holder dies at any message of declaring a target, with its message late on the way. Its
-// successor wants another number; the platform must end with that one.
-TEST_CASE("a successor's target is the one that stands")
+// The holder crashes at any message of a declaration, with the declaration itself delayed by 40 s.
+// The next holder declares another number, which must be the platform's final target.
+TEST_CASE("the target of the next holder is the final one")
 {
     for (std::size_t step = 0; step < 8; ++step) {
         INFO("step " << step);
-        World world;
-        Holder &first = world.add("a", 1, Millis::seconds(6));
-        world.run(Millis(500));
-        const std::size_t begin = world.network.messages().size();
-        world.network.setHook([&](const FakeMessage &message) {
+        Simulation simulation;
+        Holder &first = simulation.add("a", 1, Millis::seconds(6));
+        simulation.run(Millis(500));
+        const std::size_t begin = simulation.network.messages().size();
+        simulation.network.setHook([&](const FakeMessage &message) {
             MessageFate fate;
             if (message.number == begin + step)
                 first.process->kill();
@@ -95,33 +95,34 @@
             fate.delay = isTarget ? Millis::seconds(40) : Millis(0);
             return fate;
         });
-        REQUIRE(first.keeper->request(7, nullptr));
-        world.run(Millis::seconds(6));
-        Holder &second = world.add("b", 2, Millis::minutes(10));
-        REQUIRE(world.insist(second, 3));
-        world.run(Millis::minutes(2));
-        CHECK(world.target() == 3);
-        CHECK(second.keeper->isIdle());
+        REQUIRE(first.manager->request(7, nullptr));
+        simulation.run(Millis::seconds(6));
+        Holder &second = simulation.add("b", 2, Millis::minutes(10));
+        REQUIRE(simulation.requestUntilAccepted(second, 3));
+        simulation.run(Millis::minutes(2));
+        CHECK(simulation.target() == 3);
+        CHECK(second.manager->isIdle());
     }
 }
 
-// The platform's answer is lost. Ordering "again" must not start twice as many upstreams.
-TEST_CASE("a target whose answer was lost is read back and stays one target")
+// The platform's reply is lost. Declaring the target again must not start twice as many
+// upstreams.
+TEST_CASE("a target whose reply was lost is read back and counts once")
 {
-    World world;
-    Holder &holder = world.add("a", 1, Millis::minutes(10));
-    world.run(Millis(500));
-    int lost = 0;
-    world.network.setHook([&](const FakeMessage &message) {
+    Simulation simulation;
+    Holder &holder = simulation.add("a", 1, Millis::minutes(10));
+    simulation.run(Millis(500));
+    int lostReplies = 0;
+    simulation.network.setHook([&](const FakeMessage &message) {
         MessageFate fate;
-        fate.lost = message.operation == "set-target" && ++lost <= 3;
+        fate.lost = message.operation == "set-target" && ++lostReplies <= 3;
         return fate;
     });
-    REQUIRE(holder.keeper->request(5, nullptr));
-    CHECK(!holder.keeper->request(9, nullptr));
-    world.run(Millis::seconds(30));
-    CHECK(world.target() == 5);
-    CHECK(holder.keeper->isIdle());
-    REQUIRE(holder.keeper->last());
-    CHECK(holder.keeper->last()->isSettled);
+    REQUIRE(holder.manager->request(5, nullptr));
+    CHECK(!holder.manager->request(9, nullptr));
+    simulation.run(Millis::seconds(30));
+    CHECK(simulation.target() == 5);
+    CHECK(holder.manager->isIdle());
+    REQUIRE(holder.manager->last());
+    CHECK(holder.manager->last()->isSettled);
 }
--- a/modules/capacity/fleet/FleetPlanner.h
+++ b/modules/capacity/fleet/FleetPlanner.h
@@ -28,16 +28,17 @@
     }
 };
 
-/** What the fleet has to carry, in engines kept fully busy. */
+/** The work that the fleet has to do, in fully utilised engines. */
 struct FleetDemand
 {
     double engines = 0;
     /**
-        The part of it that can be redone and may wait: idempotent, resumable, without a near
-        deadline, and within its team's share of reclaimable capacity. Never a lodging or invoice.
+        Share of the work that may be interrupted, repeated and deferred: idempotent, resumable,
+        without a near deadline, and within its team's share of reclaimable capacity. Never a
+        lodging or invoice.
     */
-    double redoableShare = 0;
-    /** What operators declared for this day; 1 on ordinary days. */
+    double interruptibleShare = 0;
+    /** Factor that operators declared for this day; 1 on ordinary days. */
     double expectedFactor = 1;
 };
 
@@ -45,19 +46,19 @@
 {
     FleetDemand demand;
     std::vector<FailureDomainId> domains;
-    /** What each zone's target is now. */
+    /** The current target of each zone. */
     std::map<Zone, std::uint32_t> targets;
-    std::uint32_t leastPerDomain = 1;
-    std::uint32_t mostPerZone = 1000;
+    std::uint32_t minPerDomain = 1;
+    std::uint32_t maxPerZone = 1000;
 };
 
-struct FleetTiming
+struct FleetPlannerOptions
 {
     double utilisation = 0.75;
-    /** How long demand must have been lower before a zone's target is lowered. */
-    Millis lowerAfter = Millis::minutes(10);
-    /** How long an upstream that was started is kept, whatever the demand. */
-    Millis minimumUp = Millis::minutes(20);
+    /** How long demand has to stay lower before a zone's target is lowered. */
+    Millis loweringDelay = Millis::minutes(10);
+    /** Minimum time an upstream keeps running after its start, whatever the demand. */
+    Millis minUptime = Millis::minutes(20);
 };
 
 /** A zone's new target. */
@@ -70,33 +71,35 @@
 /**
     Decides how many upstreams each failure domain should have, by cost class.
 
-    Reacts to what is asked for and to days that operators declared; it keeps no calendar of its
-    own, because the busy days move every year. Regular upstreams alone carry, with one whole
-    failure domain lost, all work that cannot wait; reclaimable ones carry the rest. Raises at
-    once, lowers late and by one.
+    Considers the current demand and the days that operators declared; it has no calendar of its
+    own, because the busy days differ every year. With one whole failure domain lost, the regular
+    upstreams alone have capacity for all uninterruptible work; reclaimable ones are added for the
+    rest. Raises targets immediately, lowers them after a delay and by one at a time.
 */
 class FleetPlanner
 {
 public:
-    explicit FleetPlanner(const FleetTiming &timing) : timing_(timing) { }
+    explicit FleetPlanner(const FleetPlannerOptions &options) : options_(options) { }
 
-    /** Returns the zones whose target is to change now. */
+    /** Returns the zones whose target has to change now. */
     std::vector<ZoneTarget> decide(Millis now, const FleetInput &input);
 
-    /** Returns how many upstreams a zone should have for this demand, without any delay. */
-    std::uint32_t wanted(const FleetInput &input, CostClass costClass) const;
+    /**
+        Returns the number of upstreams that a zone should have for this demand, without any delay.
+    */
+    std::uint32_t requiredCount(const FleetInput &input, CostClass costClass) const;
 
 private:
     struct ZoneState
     {
-        std::optional<Millis> lowSince;
+        std::optional<Millis> lowDemandSince;
         std::optional<Millis> raisedAt;
     };
 
-    std::optional<std::uint32_t> step(Millis now, ZoneState &state, std::uint32_t current,
-                                      std::uint32_t target) const;
+    std::optional<std::uint32_t> nextTarget(Millis now, ZoneState &state, std::uint32_t current,
+                                            std::uint32_t target) const;
 
-    FleetTiming timing_;
+    FleetPlannerOptions options_;
     std::map<Zone, ZoneState> zones_;
 };
 
--- a/modules/capacity/fleet/FleetPlanner_test.cpp
+++ b/modules/capacity/fleet/FleetPlanner_test.cpp
@@ -6,10 +6,10 @@
 
 namespace {
 
-FleetInput inputFor(double engines, double redoable, double factor = 1)
+FleetInput inputFor(double engines, double interruptible, double factor = 1)
 {
     FleetInput input;
-    input.demand = {engines, redoable, factor};
+    input.demand = {engines, interruptible, factor};
     for (const char *name : {"a", "b", "c"})
         input.domains.emplace_back(name);
     return input;
@@ -23,43 +23,44 @@
 
 } // namespace
 
-// A failure domain is lost at the peak, or every reclaimable upstream of it. What cannot wait must
-// still fit on what is left.
-TEST_CASE("with a whole failure domain lost the rest carries what cannot wait")
+// A failure domain is lost at peak demand, or all its reclaimable upstreams are. The remaining
+// upstreams must still have capacity for the uninterruptible work.
+TEST_CASE("without one whole failure domain the remaining upstreams carry the uninterruptible work")
 {
-    const FleetPlanner planner{FleetTiming{}};
+    const FleetPlanner planner{FleetPlannerOptions{}};
     for (const double engines : {1.0, 5.0, 20.0, 300.0}) {
-        for (const double redoable : {0.0, 0.2, 0.5, 0.9}) {
-            INFO("engines " << engines << " redoable " << redoable);
-            const FleetInput input = inputFor(engines, redoable);
-            const double regular = planner.wanted(input, CostClass::Regular);
-            const double reclaimable = planner.wanted(input, CostClass::Reclaimable);
-            CHECK(regular * 2 >= engines * (1 - redoable));
+        for (const double interruptible : {0.0, 0.2, 0.5, 0.9}) {
+            INFO("engines " << engines << " interruptible " << interruptible);
+            const FleetInput input = inputFor(engines, interruptible);
+            const double regular = planner.requiredCount(input, CostClass::Regular);
+            const double reclaimable = planner.requiredCount(input, CostClass::Reclaimable);
+            CHECK(regular * 2 >= engines * (1 - interruptible));
             CHECK((regular + reclaimable) * 3 >= engines);
-            CHECK(reclaimable * 3 <= engines * redoable / FleetTiming{}.utilisation + 3);
+            CHECK(reclaimable * 3
+                  <= engines * interruptible / FleetPlannerOptions{}.utilisation + 3);
         }
     }
 }
 
-TEST_CASE("work that cannot be redone brings no reclaimable upstream")
+TEST_CASE("uninterruptible work adds no reclaimable upstream")
 {
-    const FleetPlanner planner{FleetTiming{}};
-    CHECK(planner.wanted(inputFor(50, 0), CostClass::Reclaimable) == 0);
+    const FleetPlanner planner{FleetPlannerOptions{}};
+    CHECK(planner.requiredCount(inputFor(50, 0), CostClass::Reclaimable) == 0);
 }
 
-TEST_CASE("a declared day raises the target before the demand is there")
+TEST_CASE("a declared day raises the target before demand rises")
 {
-    const FleetPlanner planner{FleetTiming{}};
-    const auto ordinary = planner.wanted(inputFor(10, 0), CostClass::Regular);
-    const auto declared = planner.wanted(inputFor(10, 0, 2), CostClass::Regular);
+    const FleetPlanner planner{FleetPlannerOptions{}};
+    const auto ordinary = planner.requiredCount(inputFor(10, 0), CostClass::Regular);
+    const auto declared = planner.requiredCount(inputFor(10, 0, 2), CostClass::Regular);
     CHECK(declared >= 2 * ordinary - 1);
 }
 
-// Demand goes up and down every few minutes. Each start and stop costs money, so targets go up at
-// once and down only after a long time, by one.
-TEST_CASE("targets rise at once and fall late")
+// Demand rises and falls every few minutes. Each start and stop has a cost, so targets are raised
+// immediately but lowered only after a long delay, one at a time.
+TEST_CASE("targets are raised immediately and lowered after a delay")
 {
-    FleetPlanner planner{FleetTiming{}};
+    FleetPlanner planner{FleetPlannerOptions{}};
     FleetInput input = inputFor(6, 0);
     adopt(input, planner.decide(Millis(0), input));
     const Zone zone{FailureDomainId("a"), CostClass::Regular};
--- a/modules/capacity/roles/RoleBalancer.cpp
+++ b/modules/capacity/roles/RoleBalancer.cpp
@@ -47,32 +47,33 @@
 
 } // namespace
 
-double RoleBalancer::shortage(const std::vector<RoleEngine> &engines, const ModelMix &mix) const
+double RoleBalancer::shortage(const std::vector<RoleEngine> &engines, const ModelMix &demand) const
 {
     const RoleCounts counts = countRoles(engines);
-    const double prefillRoom = counts.prefill * timing_.utilisation;
-    const double decodeRoom = counts.decode * timing_.utilisation;
-    const double prefillLeft = std::max(0.0, mix.prefillEngines - prefillRoom);
-    const double decodeLeft = std::max(0.0, mix.decodeEngines - decodeRoom);
-    const double idleDecode = std::max(0.0, decodeRoom - mix.decodeEngines);
-    const double lent = std::min({prefillLeft, idleDecode, counts.decode * timing_.lentToPrefill});
-    const double mixedRoom = counts.mixed * timing_.utilisation;
-    return std::max(0.0, prefillLeft - lent + decodeLeft - mixedRoom);
+    const double prefillCapacity = counts.prefill * options_.utilisation;
+    const double decodeCapacity = counts.decode * options_.utilisation;
+    const double unmetPrefill = std::max(0.0, demand.prefillEngines - prefillCapacity);
+    const double unmetDecode = std::max(0.0, demand.decodeEngines - decodeCapacity);
+    const double idleDecode = std::max(0.0, decodeCapacity - demand.decodeEngines);
+    const double lent =
+        std::min({unmetPrefill, idleDecode, counts.decode * options_.maxPrefillShareOfDecode});
+    const double mixedCapacity = counts.mixed * options_.utilisation;
+    return std::max(0.0, unmetPrefill - lent + unmetDecode - mixedCapacity);
 }
 
-ModelMix RoleBalancer::smooth(ModelState &state, Millis now, const ModelMix &mix) const
+ModelMix RoleBalancer::smooth(ModelState &state, Millis now, const ModelMix &demand) const
 {
     if (!state.hasSmoothed) {
-        state.smoothed = mix;
+        state.smoothed = demand;
         state.hasSmoothed = true;
     }
     const double elapsed = (now - state.smoothedAt).toSeconds();
-    const double keep = std::exp(-elapsed / timing_.smoothing.toSeconds());
-    const auto blend = [keep](double before, double current) {
-        return before * keep + current * (1 - keep);
+    const double previousWeight = std::exp(-elapsed / options_.smoothing.toSeconds());
+    const auto blend = [previousWeight](double previous, double current) {
+        return previous * previousWeight + current * (1 - previousWeight);
     };
-    state.smoothed.prefillEngines = blend(state.smoothed.prefillEngines, mix.prefillEngines);
-    state.smoothed.decodeEngines = blend(state.smoothed.decodeEngines, mix.decodeEngines);
+    state.smoothed.prefillEngines = blend(state.smoothed.prefillEngines, demand.prefillEngines);
+    state.smoothed.decodeEngines = blend(state.smoothed.decodeEngines, demand.decodeEngines);
     state.smoothedAt = now;
     return state.smoothed;
 }
@@ -96,29 +97,33 @@
                                                     const RoleInput &input)
 {
     ModelState &state = models_[model];
-    const auto asked = input.mix.find(model);
-    const ModelMix mix = smooth(state, now, asked == input.mix.end() ? ModelMix{} : asked->second);
-    // A change that is under way has not shown its effect; deciding again would overshoot.
+    const auto found = input.mix.find(model);
+    const ModelMix demand =
+        smooth(state, now, found == input.mix.end() ? ModelMix{} : found->second);
+    // A change in progress has no effect on the demand figures yet; another decision would
+    // overshoot.
     const bool isChanging = std::any_of(engines.begin(), engines.end(),
                                         [](const RoleEngine &engine) { return engine.changing; });
     if (isChanging)
         return std::nullopt;
-    const double missing = shortage(engines, mix);
+    const double missing = shortage(engines, demand);
     const RoleCounts counts = countRoles(engines);
-    const double prefillLeft = mix.prefillEngines - counts.prefill * timing_.utilisation;
-    const double decodeLeft = mix.decodeEngines - counts.decode * timing_.utilisation;
-    const EngineRole shortOf = prefillLeft > decodeLeft ? EngineRole::Prefill : EngineRole::Decode;
-    if (!isSustained(state, now, missing, shortOf))
+    const double unmetPrefill = demand.prefillEngines - counts.prefill * options_.utilisation;
+    const double unmetDecode = demand.decodeEngines - counts.decode * options_.utilisation;
+    const EngineRole missingRole =
+        unmetPrefill > unmetDecode ? EngineRole::Prefill : EngineRole::Decode;
+    if (!isSustained(state, now, missing, missingRole))
         return std::nullopt;
 
     const RoleEngine *best = nullptr;
-    double bestGain = timing_.leastGain;
+    double bestGain = options_.minGain;
     for (const RoleEngine &engine : engines) {
-        if (!mayChange(engine, now, engines, input, shortOf))
+        if (!mayChange(engine, now, engines, input, missingRole))
             continue;
-        const double gain = missing - shortage(withRole(engines, engine.id, shortOf), mix);
-        const bool isIdler = best != nullptr && gain == bestGain && engine.running < best->running;
-        if (gain <= bestGain && !isIdler)
+        const double gain = missing - shortage(withRole(engines, engine.id, missingRole), demand);
+        const bool isLessLoaded =
+            best != nullptr && gain == bestGain && engine.running < best->running;
+        if (gain <= bestGain && !isLessLoaded)
             continue;
         best = &engine;
         bestGain = gain;
@@ -126,36 +131,37 @@
     if (best == nullptr || !paysBack(bestGain))
         return std::nullopt;
     state.changedAt = now;
-    state.changedTo = shortOf;
-    state.shortSince.reset();
+    state.changedTo = missingRole;
+    state.shortageSince.reset();
     changedAt_[best->id] = now;
     RoleChange change;
     change.engine = best->id;
-    change.to = shortOf;
+    change.to = missingRole;
     change.evidence = model.text() + " lacks " + std::to_string(missing) + " engines for "
-        + std::string(engineRoleNames.name(shortOf)) + "; the change gives "
+        + std::string(engineRoleNames.name(missingRole)) + "; the change provides "
         + std::to_string(bestGain);
     return change;
 }
 
 bool RoleBalancer::isSustained(ModelState &state, Millis now, double missing,
-                               EngineRole shortOf) const
+                               EngineRole missingRole) const
 {
-    if (missing < timing_.leastGain) {
-        state.shortSince.reset();
+    if (missing < options_.minGain) {
+        state.shortageSince.reset();
         return false;
     }
-    if (!state.shortSince || state.shortOf != shortOf) {
-        state.shortSince = now;
-        state.shortOf = shortOf;
+    if (!state.shortageSince || state.missingRole != missingRole) {
+        state.shortageSince = now;
+        state.missingRole = missingRole;
     }
-    // A mix that swings to and fro would take one engine after the other away for seconds and
-    // win nothing: role changes without goodput. Turning back needs to wait longer.
-    const bool isReversal = state.changedAt && state.changedTo != shortOf;
-    const Millis settled = state.changedAt.value_or(Millis(0)) + timing_.reversal;
+    // If the demand oscillated, each reversal would make another engine unavailable for seconds
+    // without any gain in throughput. A change in the opposite direction therefore has to wait
+    // longer.
+    const bool isReversal = state.changedAt && state.changedTo != missingRole;
+    const Millis settled = state.changedAt.value_or(Millis(0)) + options_.reversalDelay;
     if (isReversal && now < settled)
         return false;
-    return now - *state.shortSince >= timing_.sustained;
+    return now - *state.shortageSince >= options_.sustainedDuration;
 }
 
 bool RoleBalancer::mayChange(const RoleEngine &engine, Millis now,
@@ -164,18 +170,19 @@
 {
     if (engine.role == to || engine.role == EngineRole::None || engine.changing)
         return false;
-    const auto changed = changedAt_.find(engine.id);
-    if (changed != changedAt_.end() && now < changed->second + timing_.dwell)
+    const auto lastChange = changedAt_.find(engine.id);
+    if (lastChange != changedAt_.end() && now < lastChange->second + options_.minRoleDuration)
         return false;
     const auto inDomain =
         std::count_if(input.engines.begin(), input.engines.end(), [&](const RoleEngine &other) {
             return other.changing && other.domain == engine.domain;
         });
-    const auto bound = input.concurrentChanges.find(engine.domain);
-    const std::uint32_t limit = bound == input.concurrentChanges.end() ? 1 : bound->second;
+    const auto configured = input.concurrentChanges.find(engine.domain);
+    const std::uint32_t limit =
+        configured == input.concurrentChanges.end() ? 1 : configured->second;
     if (static_cast<std::uint32_t>(inDomain) >= limit)
         return false;
-    // Without an engine for one kind of work the model is down, whatever the mix says.
+    // Without any engine for one kind of work the model is unavailable, whatever the demand.
     const auto after = withRole(ofModel, engine.id, to);
     const bool keepsPrefill = std::any_of(after.begin(), after.end(), [&](const RoleEngine &e) {
         return e.id != engine.id && canPrefill(e.role);
@@ -190,9 +197,9 @@
 
 bool RoleBalancer::paysBack(double gain) const
 {
-    // The engine is away for the change, and again if the mix comes back.
-    const double cost = timing_.changeTime.toSeconds() * 2;
-    return gain * timing_.payback.toSeconds() > cost;
+    // The engine is unavailable during the change, and again if it has to be reversed.
+    const double cost = options_.changeDuration.toSeconds() * 2;
+    return gain * options_.paybackPeriod.toSeconds() > cost;
 }
 
 } // namespace cuminrail
--- a/modules/capacity/roles/RoleBalancer.h
+++ b/modules/capacity/roles/RoleBalancer.h
@@ -12,20 +12,20 @@
 
 namespace cuminrail {
 
-/** One engine as role decisions see it. */
+/** The properties of an engine that role decisions depend on. */
 struct RoleEngine
 {
     UpstreamId id;
     FailureDomainId domain;
     ModelId model;
     EngineRole role = EngineRole::Mixed;
-    /** A role change is recorded or under way. */
+    /** A role change is recorded or in progress. */
     bool changing = false;
-    /** Work in progress; the idlest engine is changed first. */
+    /** Number of running requests; among equal candidates the engine with the fewest is changed. */
     double running = 0;
 };
 
-/** What a model is asked for, in engines kept fully busy: work per second over an engine's rate. */
+/** Demand for a model, in fully utilised engines: work per second divided by an engine's rate. */
 struct ModelMix
 {
     double prefillEngines = 0;
@@ -36,7 +36,10 @@
 {
     std::vector<RoleEngine> engines;
     std::map<ModelId, ModelMix> mix;
-    /** By failure domain: how many engines may change role at once; 1 where nothing is said. */
+    /**
+        Maximum number of engines per failure domain that may change role at the same time; 1 for
+        domains not listed.
+    */
     std::map<FailureDomainId, std::uint32_t> concurrentChanges;
 };
 
@@ -44,50 +47,51 @@
 {
     UpstreamId engine;
     EngineRole to = EngineRole::Mixed;
-    /** For the event and the operator. */
+    /** Explanation for the event and the operator. */
     std::string evidence;
 };
 
 struct RoleTiming
 {
-    /** The part of an engine that is planned to be busy. */
+    /** Planned utilisation of an engine. */
     double utilisation = 0.85;
-    /** The part of decode engines' time that routing may lend to prefill. */
-    double lentToPrefill = 0.25;
-    /** Time over which demand is smoothed. */
+    /** Maximum share of the decode engines' time that routing may use for prefill. */
+    double maxPrefillShareOfDecode = 0.25;
+    /** Time constant for smoothing the demand. */
     Millis smoothing = Millis::seconds(10);
-    /** How long a shortage must last before an engine is changed. */
-    Millis sustained = Millis::seconds(15);
-    /** How long before the same model may change an engine the other way. */
-    Millis reversal = Millis::seconds(90);
-    /** How long one engine keeps its role. */
-    Millis dwell = Millis::seconds(60);
-    /** How long a change takes the engine away. */
-    Millis changeTime = Millis::seconds(5);
-    /** The span in which a change has to earn what it cost. */
-    Millis payback = Millis::seconds(60);
-    /** A shortage below this many engines is left to routing. */
-    double leastGain = 0.3;
+    /** How long a shortage has to last before an engine is changed. */
+    Millis sustainedDuration = Millis::seconds(15);
+    /** How long after a change the same model may change an engine in the opposite direction. */
+    Millis reversalDelay = Millis::seconds(90);
+    /** Minimum time that an engine keeps its role. */
+    Millis minRoleDuration = Millis::seconds(60);
+    /** How long an engine is unavailable during a change. */
+    Millis changeDuration = Millis::seconds(5);
+    /** Period within which the gain of a change has to exceed its cost. */
+    Millis paybackPeriod = Millis::seconds(60);
+    /** Minimum shortage, in engines, that leads to a change; smaller ones are left to routing. */
+    double minGain = 0.3;
 };
 
 /**
-    Decides which engines change role.
+    Decides which engines change their role.
 
-    First counts what routing can do by itself: mixed engines take both kinds of work, and decode
-    engines lend a part of their time to prefill. Only what is still missing, lasts, and is worth
-    more than the seconds for which the engine is away, leads to a change. One change a model at a
-    time; never the last engine that can do a kind of work for a model.
+    First takes into account what routing can balance by itself: mixed engines do both kinds of
+    work, and decode engines do prefill work for a share of their time. A role changes only if the
+    remaining shortage lasts and reducing it outweighs the seconds for which the engine is
+    unavailable. At most one change at a time for each model; never the last engine of a model that
+    can do a kind of work.
 */
 class RoleBalancer
 {
 public:
-    explicit RoleBalancer(const RoleTiming &timing) : timing_(timing) { }
+    explicit RoleBalancer(const RoleTiming &options) : options_(options) { }
 
-    /** Takes in what is asked for now and returns the changes to make now. */
+    /** Processes the current demand and returns the changes to make now. */
     std::vector<RoleChange> decide(Millis now, const RoleInput &input);
 
-    /** Returns the engines' worth of work that no routing can place, for a set of engines. */
-    double shortage(const std::vector<RoleEngine> &engines, const ModelMix &mix) const;
+    /** Returns the work, in engines, that routing cannot place on a set of engines. */
+    double shortage(const std::vector<RoleEngine> &engines, const ModelMix &demand) const;
 
 private:
     struct ModelState
@@ -95,22 +99,22 @@
         ModelMix smoothed;
         Millis smoothedAt;
         bool hasSmoothed = false;
-        std::optional<Millis> shortSince;
-        EngineRole shortOf = EngineRole::Mixed;
+        std::optional<Millis> shortageSince;
+        EngineRole missingRole = EngineRole::Mixed;
         std::optional<Millis> changedAt;
         EngineRole changedTo = EngineRole::Mixed;
     };
 
-    ModelMix smooth(ModelState &state, Millis now, const ModelMix &mix) const;
+    ModelMix smooth(ModelState &state, Millis now, const ModelMix &demand) const;
     std::optional<RoleChange> decideModel(Millis now, const ModelId &model,
                                           const std::vector<RoleEngine> &engines,
                                           const RoleInput &input);
-    bool isSustained(ModelState &state, Millis now, double missing, EngineRole shortOf) const;
+    bool isSustained(ModelState &state, Millis now, double missing, EngineRole missingRole) const;
     bool mayChange(const RoleEngine &engine, Millis now, const std::vector<RoleEngine> &ofModel,
                    const RoleInput &input, EngineRole to) const;
     bool paysBack(double gain) const;
 
-    RoleTiming timing_;
+    RoleTiming options_;
     std::map<ModelId, ModelState> models_;
     std::map<UpstreamId, Millis> changedAt_;
 };
--- a/modules/capacity/roles/RoleBalancer_test.cpp
+++ b/modules/capacity/roles/RoleBalancer_test.cpp
@@ -27,29 +27,29 @@
     return input;
 }
 
-struct Play
+struct Simulation
 {
     RoleBalancer balancer{RoleTiming{}};
     RoleInput input;
     int changes = 0;
 
-    /** Asks every second and lets each change take effect five seconds later. */
-    void run(Millis from, Millis to, const std::function<ModelMix(Millis)> &mix)
+    /** Decides every second; each change takes effect five seconds later. */
+    void run(Millis from, Millis to, const std::function<ModelMix(Millis)> &demand)
     {
         for (Millis now = from; now < to; now += Millis(1000)) {
-            for (auto it = due_.begin(); it != due_.end();) {
+            for (auto it = pendingChanges_.begin(); it != pendingChanges_.end();) {
                 if (now < it->first) {
                     ++it;
                     continue;
                 }
-                finish(it->second);
-                it = due_.erase(it);
+                finishChange(it->second);
+                it = pendingChanges_.erase(it);
             }
-            input.mix[model] = mix(now);
+            input.mix[model] = demand(now);
             for (const RoleChange &change : balancer.decide(now, input)) {
                 ++changes;
-                mark(change.engine);
-                due_.emplace_back(now + Millis::seconds(5), change);
+                markChanging(change.engine);
+                pendingChanges_.emplace_back(now + Millis::seconds(5), change);
             }
         }
     }
@@ -63,12 +63,12 @@
     }
 
 private:
-    void mark(const UpstreamId &id)
+    void markChanging(const UpstreamId &id)
     {
         for (RoleEngine &engine : input.engines)
             engine.changing = engine.changing || engine.id == id;
     }
-    void finish(const RoleChange &change)
+    void finishChange(const RoleChange &change)
     {
         for (RoleEngine &engine : input.engines) {
             if (engine.id != change.engine)
@@ -78,86 +78,87 @@
         }
     }
 
-    std::vector<std::pair<Millis, RoleChange>> due_;
+    std::vector<std::pair<Millis, RoleChange>> pendingChanges_;
 };
 
 } // namespace
 
-TEST_CASE("what routing can place leads to no role change")
+TEST_CASE("demand that routing can place leads to no role change")
 {
     struct Row
     {
         const char *name;
         RoleInput fleet;
-        ModelMix mix;
+        ModelMix demand;
     };
     const std::vector<Row> rows = {
         {"all mixed", fleetOf(0, 0, 8), {4, 2.5}},
-        {"fits as it is", fleetOf(3, 5, 0), {2, 4}},
-        {"decode engines lend to prefill", fleetOf(2, 6, 0), {2.6, 3}},
-        {"mixed engines take the rest", fleetOf(2, 4, 2), {2.5, 4}},
+        {"each role fits its demand", fleetOf(3, 5, 0), {2, 4}},
+        {"decode engines do prefill work", fleetOf(2, 6, 0), {2.6, 3}},
+        {"mixed engines do the remaining work", fleetOf(2, 4, 2), {2.5, 4}},
     };
     for (const Row &row : rows) {
         INFO(row.name);
-        Play play;
-        play.input = row.fleet;
-        play.run(Millis(0), Millis::minutes(10), [&](Millis) { return row.mix; });
-        CHECK(play.changes == 0);
+        Simulation simulation;
+        simulation.input = row.fleet;
+        simulation.run(Millis(0), Millis::minutes(10), [&](Millis) { return row.demand; });
+        CHECK(simulation.changes == 0);
     }
 }
 
-TEST_CASE("a lasting shortage is met by as few changes as it takes")
+TEST_CASE("a lasting shortage is resolved with the fewest changes")
 {
-    Play play;
-    play.input = fleetOf(2, 6, 0);
-    play.run(Millis(0), Millis::minutes(10), [](Millis) { return ModelMix{4, 2}; });
-    CHECK(play.count(EngineRole::Prefill) >= 3);
-    CHECK(play.count(EngineRole::Prefill) <= 5);
-    CHECK(play.balancer.shortage(play.input.engines, {4, 2}) < RoleTiming{}.leastGain);
-    CHECK(play.changes <= 3);
+    Simulation simulation;
+    simulation.input = fleetOf(2, 6, 0);
+    simulation.run(Millis(0), Millis::minutes(10), [](Millis) { return ModelMix{4, 2}; });
+    CHECK(simulation.count(EngineRole::Prefill) >= 3);
+    CHECK(simulation.count(EngineRole::Prefill) <= 5);
+    CHECK(simulation.balancer.shortage(simulation.input.engines, {4, 2}) < RoleTiming{}.minGain);
+    CHECK(simulation.changes <= 3);
 }
 
-// The mix swings to and fro faster than an engine changes its role. Following it would take
-// engines away again and again, and callers would only see them missing.
-TEST_CASE("a mix that swings fast is not followed")
+// Demand shifts between prefill and decode faster than an engine can change its role. Following it
+// would repeatedly make engines unavailable, and callers would only notice the missing capacity.
+TEST_CASE("fast oscillations of the demand lead to no role changes")
 {
-    Play play;
-    play.input = fleetOf(3, 5, 0);
-    play.run(Millis(0), Millis::minutes(30), [](Millis now) {
+    Simulation simulation;
+    simulation.input = fleetOf(3, 5, 0);
+    simulation.run(Millis(0), Millis::minutes(30), [](Millis now) {
         const bool isPromptHeavy = now.count() / 20000 % 2 == 0;
         return isPromptHeavy ? ModelMix{4.5, 2} : ModelMix{1.5, 5};
     });
-    CHECK(play.changes <= 2);
+    CHECK(simulation.changes <= 2);
 }
 
-// A swing that lasts is followed, but a day of it must not turn into a day of role changes.
-TEST_CASE("slow swings cost a bounded number of changes")
+// A shift that lasts leads to role changes, but a day of slow shifts must not lead to a day of
+// continuous changes.
+TEST_CASE("slow oscillations lead to a limited number of changes")
 {
-    Play play;
-    play.input = fleetOf(3, 5, 0);
-    play.run(Millis(0), Millis::minutes(120), [](Millis now) {
+    Simulation simulation;
+    simulation.input = fleetOf(3, 5, 0);
+    simulation.run(Millis(0), Millis::minutes(120), [](Millis now) {
         const bool isPromptHeavy = now.count() / Millis::minutes(20).count() % 2 == 0;
         return isPromptHeavy ? ModelMix{4.5, 2} : ModelMix{1.5, 5.5};
     });
-    CHECK(play.changes >= 2);
-    CHECK(play.changes <= 6 * 3);
+    CHECK(simulation.changes >= 2);
+    CHECK(simulation.changes <= 6 * 3);
 }
 
-// All demand is for one kind of work for an hour. Taking the last engine of the other kind would
-// leave the first caller who needs it with nothing.
-TEST_CASE("the last engine of a kind of work is never taken")
+// All demand is for one kind of work for an hour. If the last engine for the other kind changed its
+// role, the next caller that needs it could not be served.
+TEST_CASE("the last engine for a kind of work keeps its role")
 {
-    Play play;
-    play.input = fleetOf(1, 3, 0);
-    play.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelMix{9, 0}; });
-    CHECK(play.count(EngineRole::Decode) >= 1);
-    Play other;
+    Simulation simulation;
+    simulation.input = fleetOf(1, 3, 0);
+    simulation.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelMix{9, 0}; });
+    CHECK(simulation.count(EngineRole::Decode) >= 1);
+    Simulation other;
     other.input = fleetOf(3, 1, 0);
     other.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelMix{0, 9}; });
     CHECK(other.count(EngineRole::Prefill) >= 1);
 }
 
-TEST_CASE("a failure domain never has more engines changing than it may")
+TEST_CASE("a failure domain never exceeds its limit of concurrent role changes")
 {
     RoleBalancer balancer{RoleTiming{}};
     RoleInput input = fleetOf(1, 6, 0);
--- a/modules/configsync/ConfigSync_test.cpp
+++ b/modules/configsync/ConfigSync_test.cpp
@@ -69,7 +69,7 @@
     cluster.runFor(Millis::seconds(20));
     for (std::size_t i = 0; i < cluster.size(); ++i)
         CHECK(cluster.accepts(i, key));
-    cluster.setStoreCut(4, true);
+    cluster.setStoreUnreachable(4, true);
     cluster.runFor(Millis::seconds(10));
     CHECK(cluster.accepts(4, key));
     cluster.apply({}, {key});
@@ -92,7 +92,7 @@
     cluster.instances().at(3).events = [&](const Event &event) {
         stale += event.kind == &events::configurationStale ? 1 : 0;
     };
-    cluster.setStoreCut(3, true);
+    cluster.setStoreUnreachable(3, true);
     cluster.instances().setConnected(3, false);
     cluster.apply({}, {key});
     cluster.runFor(Millis(5500));
@@ -101,7 +101,7 @@
     cluster.runFor(Millis::minutes(1));
     CHECK_FALSE(cluster.accepts(3, key));
     CHECK(countServing(cluster) == 5);
-    cluster.setStoreCut(3, false);
+    cluster.setStoreUnreachable(3, false);
     cluster.instances().setConnected(3, true);
     cluster.runFor(Millis::seconds(20));
     CHECK(countServing(cluster) == 6);
@@ -118,9 +118,9 @@
     cluster.startAll();
     cluster.runFor(Millis::seconds(20));
     for (const std::size_t inside : {0U, 3U}) {
-        cluster.setStoreCut(inside, true);
+        cluster.setStoreUnreachable(inside, true);
         for (const std::size_t outside : {1U, 2U, 4U, 5U})
-            cluster.instances().setPathCut(inside, outside, true);
+            cluster.instances().setLinkCut(inside, outside, true);
     }
     cluster.runFor(Millis::seconds(15));
     CHECK(countServing(cluster) == 4);
@@ -136,7 +136,7 @@
     const std::uint64_t before = cluster.apply({}, {});
     cluster.startAll();
     cluster.runFor(Millis::seconds(30));
-    cluster.setStoreOut(true);
+    cluster.setStoreUnavailable(true);
     for (int minute = 0; minute < 60; ++minute) {
         cluster.runFor(minute == 5 ? Millis::minutes(1) : Millis::seconds(5));
         CHECK(countServing(cluster) == 24);
@@ -144,14 +144,14 @@
     CHECK(countWatching(cluster) <= 18);
     CHECK(cluster.countInForce(before) == 24);
     const std::uint64_t calls = cluster.store().counts().gets + cluster.store().counts().watches;
-    cluster.setStoreOut(false);
+    cluster.setStoreUnavailable(false);
     const std::uint64_t after = cluster.apply({}, {});
     cluster.runFor(Millis(1000));
     CHECK(cluster.store().counts().gets + cluster.store().counts().watches - calls <= 24);
     CHECK(cluster.runUntilInForce(after, Millis::seconds(30)) < Millis::seconds(12));
 }
 
-// An instance is replacements during an outage of the store. It has to start without the store,
+// An instance is replaced during an outage of the store. It has to start without the store,
 // since its peers have the whole tree.
 TEST_CASE("an instance started during a store outage fetches the settings from peers")
 {
@@ -159,7 +159,7 @@
     const std::uint64_t generation = cluster.apply({ConfigCluster::keyHash(1)}, {});
     cluster.startAll();
     cluster.runFor(Millis::seconds(20));
-    cluster.setStoreOut(true);
+    cluster.setStoreUnavailable(true);
     cluster.runFor(Millis::seconds(20));
     cluster.start(2);
     cluster.runFor(Millis::seconds(5));
@@ -190,7 +190,7 @@
     CHECK_FALSE(cluster.accepts(1, key));
 }
 
-// The store is restored from an restored backup, or a read of a running instance lags: the head has
+// The store is restored from an old backup, or a read of a running instance lags: the head has
 // a lower generation than the one in force.
 TEST_CASE("a running instance refuses an older head and emits an event")
 {
@@ -333,7 +333,7 @@
 
 // The connection of a watch hangs: no reply and no reset, while new connections work. Without a
 // replacement the settings would stay outdated unnoticed.
-TEST_CASE("a watch without a reply is replacements")
+TEST_CASE("a watch without a reply is replaced")
 {
     std::size_t watchCalls = 0;
     FakeScheduler *scheduler = nullptr;
@@ -397,7 +397,7 @@
     cluster.runFor(Millis::minutes(7));
     for (std::size_t i = 0; i < cluster.size(); ++i) {
         if (cluster.config(i).isWatching())
-            cluster.setStoreCut(i, true);
+            cluster.setStoreUnreachable(i, true);
     }
     cluster.runFor(Millis::seconds(8));
     CHECK(countServing(cluster) == 24);
--- a/modules/configsync/measure/ConfigCluster.cpp
+++ b/modules/configsync/measure/ConfigCluster.cpp
@@ -157,15 +157,15 @@
     return now() - from;
 }
 
-void ConfigCluster::setStoreCut(std::size_t index, bool cut)
+void ConfigCluster::setStoreUnreachable(std::size_t index, bool cut)
 {
     network_.setCut(VirtualCluster::idOf(index).text(), FakeObjectStore::endpoint, cut);
 }
 
-void ConfigCluster::setStoreOut(bool out)
+void ConfigCluster::setStoreUnavailable(bool isUnavailable)
 {
     for (std::size_t i = 0; i < size(); ++i)
-        setStoreCut(i, out);
+        setStoreUnreachable(i, isUnavailable);
 }
 
 std::string ConfigCluster::keyHash(std::size_t number)
--- a/modules/configsync/measure/ConfigCluster.h
+++ b/modules/configsync/measure/ConfigCluster.h
@@ -68,9 +68,9 @@
     Millis runUntilInForce(std::uint64_t generation, Millis limit);
 
     /** Cuts an instance off from the store, or reconnects it. */
-    void setStoreCut(std::size_t index, bool cut);
+    void setStoreUnreachable(std::size_t index, bool cut);
     /** Makes the store unavailable to all instances, or available again. */
-    void setStoreOut(bool out);
+    void setStoreUnavailable(bool isUnavailable);
 
     static std::string keyHash(std::size_t number);
 
--- a/modules/configsync/measure/ConfigMeasure.cpp
+++ b/modules/configsync/measure/ConfigMeasure.cpp
@@ -67,11 +67,11 @@
 
 void measureOutage(ConfigCluster &cluster, Millis outage, ConfigSyncMeasurement &measurement)
 {
-    cluster.setStoreOut(true);
+    cluster.setStoreUnavailable(true);
     cluster.runFor(outage);
     for (std::size_t i = 0; i < cluster.size(); ++i)
         measurement.refusedInOutage += cluster.config(i).freshness(cluster.now()).mayServe ? 0 : 1;
-    cluster.setStoreOut(false);
+    cluster.setStoreUnavailable(false);
     std::uint64_t before = callsOf(cluster.store().counts());
     for (int second = 0; second < 60; ++second) {
         cluster.runFor(Millis::seconds(1));
--- a/modules/engineview/EngineView_test.cpp
+++ b/modules/engineview/EngineView_test.cpp
@@ -31,7 +31,7 @@
     CHECK(polled == 60);
     cluster.runFor(Millis::seconds(30));
     for (std::size_t engine = 0; engine < 60; ++engine)
-        CHECK(cluster.informed(engine) == 24);
+        CHECK(cluster.countInformed(engine) == 24);
 }
 
 // An engine changes its role, and instances that do not know this yet send it prompts that it
@@ -41,9 +41,9 @@
     ViewCluster cluster(sizeOf(24, 60, 5));
     cluster.runFor(Millis::seconds(30));
     cluster.engineState(7).role = EngineRole::Decode;
-    CHECK(cluster.informed(7) == 0);
+    CHECK(cluster.countInformed(7) == 0);
     cluster.runFor(twoPeriods);
-    CHECK(cluster.informed(7) == 24);
+    CHECK(cluster.countInformed(7) == 24);
 }
 
 // With each hop a report appears a few milliseconds more recent. If that counted as a new sample,
--- a/modules/engineview/measure/ViewCluster.cpp
+++ b/modules/engineview/measure/ViewCluster.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-std::size_t ViewCluster::informed(std::size_t engine) const
+std::size_t ViewCluster::countInformed(std::size_t engine) const
 {
     std::size_t count = 0;
     for (std::size_t instance = 0; instance < views_.size(); ++instance) {
--- a/modules/engineview/measure/ViewCluster.h
+++ b/modules/engineview/measure/ViewCluster.h
@@ -44,7 +44,7 @@
     void kill(std::size_t instance);
 
     /** Returns how many running instances know the current facts of this engine. */
-    std::size_t informed(std::size_t engine) const;
+    std::size_t countInformed(std::size_t engine) const;
     /** Returns the age of the oldest report of any engine on any running instance. */
     Millis oldestReport() const;
 
--- a/modules/membership/Membership.cpp
+++ b/modules/membership/Membership.cpp
@@ -20,11 +20,11 @@
 }
 
 /** Returns the duration with up to 25 % of random jitter in either direction. */
-Millis jittered(Millis span, const RandomHook &random)
+Millis jittered(Millis duration, const RandomHook &random)
 {
-    const std::int64_t half = std::max<std::int64_t>(span.count() / 2, 1);
+    const std::int64_t half = std::max<std::int64_t>(duration.count() / 2, 1);
     const auto offset = static_cast<std::int64_t>(random() % static_cast<std::uint64_t>(half));
-    return span - Millis(half / 2) + Millis(offset);
+    return duration - Millis(half / 2) + Millis(offset);
 }
 
 } // namespace
@@ -145,8 +145,8 @@
         return;
     std::vector<InstanceId> indirectProbers;
     for (const auto &item : table_.entries()) {
-        const bool answers = item.second.record.status == MemberStatus::Alive;
-        if (answers && item.first != probe->target)
+        const bool isAlive = item.second.record.status == MemberStatus::Alive;
+        if (isAlive && item.first != probe->target)
             indirectProbers.push_back(item.first);
     }
     for (std::uint32_t i = 0; i < config_.indirectProbers && !indirectProbers.empty(); ++i) {
@@ -299,12 +299,12 @@
             ++reach.alive;
     }
     for (const InstanceId &neighbour : ring_.neighbours()) {
-        const auto answer = probes_.lastProbeSucceeded(neighbour);
-        if (!answer)
+        const auto succeeded = probes_.lastProbeSucceeded(neighbour);
+        if (!succeeded)
             continue;
         ++reach.probed;
-        if (*answer)
-            ++reach.answered;
+        if (*succeeded)
+            ++reach.responded;
     }
     return reach;
 }
--- a/modules/membership/Membership.h
+++ b/modules/membership/Membership.h
@@ -86,13 +86,13 @@
     std::size_t alive = 1;
     /** Neighbours with a completed probe, and how many of these responded to the last one. */
     std::size_t probed = 0;
-    std::size_t answered = 0;
+    std::size_t responded = 0;
 
     /**
         Returns true if strictly more than half of all members, and of the probed neighbours,
         respond.
     */
-    bool isMajority() const { return alive * 2 > known && (probed == 0 || answered * 2 > probed); }
+    bool isMajority() const { return alive * 2 > known && (probed == 0 || responded * 2 > probed); }
 };
 
 /** Callbacks and ports of a Membership. All are required except the last three. */
--- a/modules/membership/Membership_test.cpp
+++ b/modules/membership/Membership_test.cpp
@@ -76,7 +76,7 @@
         cluster.startAll();
         cluster.runFor(Millis::minutes(3));
         CHECK(countDeadDeclarations(cluster) == 0);
-        CHECK(cluster.isSettled());
+        CHECK(cluster.isConverged());
     }
 }
 
@@ -92,7 +92,7 @@
         };
     cluster.startAll();
     cluster.runFor(Millis::seconds(10));
-    cluster.setPathCut(0, 1, true);
+    cluster.setLinkCut(0, 1, true);
     cluster.runFor(Millis::minutes(1));
     CHECK(suspicions == 0);
 }
@@ -110,7 +110,7 @@
     cluster.start(7);
     cluster.runFor(Millis::seconds(10));
     CHECK(countDeclaredDead(cluster, 7) == 0);
-    CHECK(cluster.isSettled());
+    CHECK(cluster.isConverged());
 }
 
 // An instance announces its planned stop. The platform's list still contains it for minutes, and
@@ -169,7 +169,7 @@
     cluster.runFor(Millis::seconds(15));
     CHECK(cluster.membership(2).stats().declaredDead == previous);
     CHECK(suspicions == 0);
-    CHECK(cluster.isSettled());
+    CHECK(cluster.isConverged());
 }
 
 // One instance loses its network: to it all others are unresponsive, to the others only it is. It
@@ -190,7 +190,7 @@
         CHECK(view.unreachable);
     cluster.setConnected(0, true);
     cluster.runFor(Millis::seconds(30));
-    CHECK(cluster.isSettled());
+    CHECK(cluster.isConverged());
 }
 
 // Two regions are partitioned for ten minutes. Each has to keep its members, must not declare
@@ -201,7 +201,7 @@
     VirtualCluster cluster(shapeOf(24, 4, 2));
     cluster.startAll();
     cluster.runFor(Millis::seconds(30));
-    cluster.setRegionsCut(true);
+    cluster.setRegionsPartitioned(true);
     cluster.runFor(Millis::minutes(10));
     CHECK(countDeadDeclarations(cluster) == 0);
     CHECK_FALSE(cluster.membership(0).reach().isMajority());
@@ -210,7 +210,7 @@
     cluster.runFor(Millis::seconds(20));
     CHECK(countDeclaredDead(cluster, 4) == 11); // the other members of its own region
 
-    cluster.setRegionsCut(false);
+    cluster.setRegionsPartitioned(false);
     cluster.resetCounts();
     cluster.runFor(Millis::seconds(30));
     std::uint64_t worst = 0;
@@ -218,7 +218,7 @@
         worst = std::max(worst, cluster.at(i).bytesSent);
     CHECK(worst < 30 * 6000);
     CHECK(countDeclaredDead(cluster, 4) == 23);
-    CHECK(cluster.isSettled());
+    CHECK(cluster.isConverged());
 }
 
 // A whole failure domain fails, a third of all instances. This has to stay within the limit of dead
@@ -291,5 +291,5 @@
     listed.isOwn = true;
     cluster.membership(4).setListed({listed});
     cluster.runFor(Millis::seconds(20));
-    CHECK(cluster.isSettled());
+    CHECK(cluster.isConverged());
 }
--- a/modules/membership/measure/MembershipMeasure.cpp
+++ b/modules/membership/measure/MembershipMeasure.cpp
@@ -31,7 +31,7 @@
 void converge(VirtualCluster &cluster, MembershipMeasurement &measurement)
 {
     cluster.startAll();
-    while (!cluster.isSettled() && cluster.now() < kConvergenceLimit)
+    while (!cluster.isConverged() && cluster.now() < kConvergenceLimit)
         cluster.runFor(kConvergenceStep);
     measurement.convergenceTime = cluster.now();
 }
--- a/modules/membership/measure/VirtualCluster.cpp
+++ b/modules/membership/measure/VirtualCluster.cpp
@@ -117,22 +117,22 @@
     scheduler_.after(tickPeriod, [this, index, process] { tick(index, process); });
 }
 
-void VirtualCluster::setPathCut(std::size_t one, std::size_t other, bool cut)
+void VirtualCluster::setLinkCut(std::size_t one, std::size_t other, bool cut)
 {
-    const auto path = std::minmax(one, other);
+    const auto link = std::minmax(one, other);
     if (cut)
-        cutPaths_.insert(path);
+        cutLinks_.insert(link);
     else
-        cutPaths_.erase(path);
+        cutLinks_.erase(link);
 }
 
 bool VirtualCluster::isReachable(std::size_t from, std::size_t to) const
 {
     if (!instances_[from]->connected || !instances_[to]->connected)
         return false;
-    if (cutPaths_.count(std::minmax(from, to)) != 0)
+    if (cutLinks_.count(std::minmax(from, to)) != 0)
         return false;
-    return !regionsCut_ || regionOf(from) == regionOf(to);
+    return !regionsPartitioned_ || regionOf(from) == regionOf(to);
 }
 
 void VirtualCluster::send(std::size_t from, const PeerAddress &to, std::string frame)
@@ -162,7 +162,7 @@
         receiver.onOtherFrame(*channel, frame);
 }
 
-bool VirtualCluster::isSettled()
+bool VirtualCluster::isConverged()
 {
     std::size_t running = 0;
     for (std::size_t i = 0; i < size(); ++i)
--- a/modules/membership/measure/VirtualCluster.h
+++ b/modules/membership/measure/VirtualCluster.h
@@ -85,14 +85,14 @@
     /** Isolates an instance from all others, or reconnects it. */
     void setConnected(std::size_t index, bool connected) { at(index).connected = connected; }
     /** Cuts or restores the link between two instances, in both directions. */
-    void setPathCut(std::size_t one, std::size_t other, bool cut);
+    void setLinkCut(std::size_t one, std::size_t other, bool cut);
     /** Partitions the regions, or reconnects them. */
-    void setRegionsCut(bool cut) { regionsCut_ = cut; }
+    void setRegionsPartitioned(bool cut) { regionsPartitioned_ = cut; }
     /** Sends a frame from an instance over the simulated network. */
     void send(std::size_t from, const PeerAddress &to, std::string frame);
 
     /** Returns true if every running instance knows exactly the running instances, all as alive. */
-    bool isSettled();
+    bool isConverged();
     /** Resets all byte and frame counts. */
     void resetCounts();
 
@@ -113,8 +113,8 @@
     RandomHook random_;
     std::vector<std::unique_ptr<VirtualInstance>> instances_;
     Incarnation lastIncarnation_ = 0;
-    bool regionsCut_ = false;
-    std::set<std::pair<std::size_t, std::size_t>> cutPaths_;
+    bool regionsPartitioned_ = false;
+    std::set<std::pair<std::size_t, std::size_t>> cutLinks_;
 };
 
 } // namespace cuminrail
--- a/modules/membership/messages/CborArray.cpp
+++ b/modules/membership/messages/CborArray.cpp
@@ -56,12 +56,12 @@
 
 } // namespace
 
-std::optional<nlohmann::json> decodeCbor(const std::string &frame, const CborBounds &bounds)
+std::optional<nlohmann::json> decodeCbor(const std::string &frame, const CborLimits &limits)
 {
     using nlohmann::json;
-    if (frame.size() > bounds.bytes)
+    if (frame.size() > limits.bytes)
         return std::nullopt;
-    LimitCheck check(bounds.elements);
+    LimitCheck check(limits.elements);
     if (!json::sax_parse(frame, &check, json::input_format_t::cbor))
         return std::nullopt;
     json value = json::from_cbor(frame, true, false);
@@ -110,7 +110,7 @@
     return element->get<bool>();
 }
 
-std::string CborArray::name(std::size_t maximum, bool mayBeEmpty)
+std::string CborArray::name(std::size_t maximum, bool allowEmpty)
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_string()) {
@@ -120,7 +120,7 @@
     const auto &text = element->get_ref<const std::string &>();
     const bool isPrintable =
         std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c <= '~'; });
-    if (!isPrintable || text.size() > maximum || (text.empty() && !mayBeEmpty)) {
+    if (!isPrintable || text.size() > maximum || (text.empty() && !allowEmpty)) {
         valid_ = false;
         return {};
     }
--- a/modules/membership/messages/CborArray.h
+++ b/modules/membership/messages/CborArray.h
@@ -19,7 +19,7 @@
 };
 
 /** Limits for a decoded value that is not a frame. */
-struct CborBounds
+struct CborLimits
 {
     std::size_t bytes = FrameLimits::bytes;
     std::size_t elements = FrameLimits::elements;
@@ -31,7 +31,7 @@
     The library's decoder recurses with the nesting and trusts announced lengths: without these
     limits a small frame of nested arrays would overflow the stack of the control thread.
 */
-std::optional<nlohmann::json> decodeCbor(const std::string &frame, const CborBounds &bounds = {});
+std::optional<nlohmann::json> decodeCbor(const std::string &frame, const CborLimits &limits = {});
 
 /** Encodes a value as a frame. */
 std::string encodeCbor(const nlohmann::json &value);
@@ -50,7 +50,7 @@
     std::uint64_t number(std::uint64_t maximum = UINT64_MAX);
     bool boolean();
     /** Reads a text of printable ASCII without spaces. */
-    std::string name(std::size_t maximum, bool mayBeEmpty = false);
+    std::string name(std::size_t maximum, bool allowEmpty = false);
     /** Reads a byte string. */
     std::string bytes(std::size_t maximum);
     /** Reads a nested array of at most this many elements; an empty one on error. */
