--- a/modules/capacity/roles/RoleBalancer.cpp
+++ b/modules/capacity/roles/RoleBalancer.cpp
@@ -158,8 +158,8 @@
     // without any gain in throughput. A change in the opposite direction therefore has to wait
     // longer.
     const bool isReversal = state.changedAt && state.changedTo != missingRole;
-    const Millis settled = state.changedAt.value_or(Millis(0)) + options_.reversalDelay;
-    if (isReversal && now < settled)
+    const Millis reversalAllowedAt = state.changedAt.value_or(Millis(0)) + options_.reversalDelay;
+    if (isReversal && now < reversalAllowedAt)
         return false;
     return now - *state.shortageSince >= options_.sustainedDuration;
 }
--- a/modules/capacity/roles/RoleBalancer.h
+++ b/modules/capacity/roles/RoleBalancer.h
@@ -21,7 +21,7 @@
     EngineRole role = EngineRole::Mixed;
     /** A role change is recorded or in progress. */
     bool changing = false;
-    /** Number of running requests; among equal candidates the engine with the fewest is changed. */
+    /** Work in progress; of engines with equal gain the one with the least is changed. */
     double running = 0;
 };
 
--- a/modules/membership/Membership.h
+++ b/modules/membership/Membership.h
@@ -123,8 +123,8 @@
 /**
     The membership protocol of one instance: a state machine driven by the caller's clock.
 
-    Runs on the control thread: tick() about every 100 ms, receive() for each frame. Sends through
-    the transport and calls hooks from within these calls; owns no thread and no timer.
+    Runs on the control thread: tick() about every 100 ms, handleFrame() for each frame. Sends
+    through the transport and calls hooks from within these calls; owns no thread and no timer.
 
     @see docs/MEMBERSHIP.md
 */
--- a/modules/membership/detector/SilenceBound.h
+++ b/modules/membership/detector/SilenceBound.h
@@ -10,7 +10,7 @@
 
     If a large part of a region is unresponsive at once, a network partition is more likely than a
     failure of all of them. Declaring them dead would let the smaller side of the partition take
-    over every duty and forget its peers, so they are kept as unreachable and still probed
+    over every duty and drop its peers, so they are kept as unreachable and still probed
     occasionally. Counted per region, so that losing contact with another region does not prevent
     the detection of a dead instance in this one, and vice versa.
 */
--- a/modules/membership/messages/CborArray.h
+++ b/modules/membership/messages/CborArray.h
@@ -40,7 +40,8 @@
     Reads the elements of a CBOR array in order, strictly.
 
     After the first element that is missing, has another type or exceeds a limit, all further reads
-    return empty values and isGood() stays false, so that a decoder needs only one check at its end.
+    return empty values and isValid() stays false, so that a decoder needs only one check at its
+    end.
 */
 class CborArray
 {
