--- a/modules/peerlink/PeerLinks.cpp
+++ b/modules/peerlink/PeerLinks.cpp
@@ -47,14 +47,14 @@
 }
 
 template<typename Endpoint>
-void silenceLogs(Endpoint &endpoint)
+void disableLogs(Endpoint &endpoint)
 {
     endpoint.clear_access_channels(websocketpp::log::alevel::all);
     endpoint.clear_error_channels(websocketpp::log::elevel::all);
-    endpoint.set_user_agent(""); // a stranger learns not even the library's version
+    endpoint.set_user_agent(""); // hides the library's version from unauthenticated clients
 }
 
-void sendSmallFramesAtOnce(const detail::PeerConnection &connection)
+void disableNagle(const detail::PeerConnection &connection)
 {
     boost::system::error_code ignored;
     connection->get_raw_socket().set_option(tcp::no_delay(true), ignored);
@@ -68,8 +68,8 @@
       events_(std::move(events)), timer_(context)
 {
     Error error;
-    silenceLogs(server_);
-    silenceLogs(client_);
+    disableLogs(server_);
+    disableLogs(client_);
     server_.init_asio(&context_, error);
     client_.init_asio(&context_, error);
     setHandlers();
@@ -85,10 +85,10 @@
 {
     setCommonHandlers(server_);
     setCommonHandlers(client_);
-    server_.set_validate_handler(whileAlive([this](const Handle &) { return mayAccept(); }));
-    server_.set_open_handler(whileAlive([this](const Handle &handle) { accepted(handle); }));
+    server_.set_validate_handler(whileAlive([this](const Handle &) { return canAccept(); }));
+    server_.set_open_handler(whileAlive([this](const Handle &handle) { handleAccepted(handle); }));
     server_.set_http_handler(whileAlive([this](const Handle &handle) {
-        // Not a websocket: answered without a word of what this is.
+        // Plain HTTP gets a 404 that does not identify this program.
         Error error;
         if (const auto connection = server_.get_con_from_hdl(handle, error))
             connection->set_status(websocketpp::http::status_code::not_found);
@@ -98,11 +98,11 @@
         const auto connection = client_.get_con_from_hdl(handle, error);
         if (!connection)
             return;
-        // A link that was given up while it was being made could not be closed before.
+        // A link removed while connecting could not be closed before.
         if (links_.count(handle) == 0)
             connection->close(websocketpp::close::status::normal, "", error);
         else
-            sendSmallFramesAtOnce(connection);
+            disableNagle(connection);
     }));
 }
 
@@ -114,17 +114,17 @@
     endpoint.set_max_message_size(detail::PeerWebsocketConfig::max_message_size);
     endpoint.set_message_handler(
         whileAlive([this](const Handle &handle, const typename Endpoint::message_ptr &message) {
-            received(handle, message->get_payload());
+            handleMessage(handle, message->get_payload());
         }));
     endpoint.set_pong_handler(whileAlive([this](const Handle &handle, const std::string &) {
         const auto found = links_.find(handle);
         if (found == links_.end())
             return;
         ++stats_.pongs;
-        found->second->noteProgress(clock_.now());
+        found->second->recordActivity(clock_.now());
     }));
-    endpoint.set_close_handler(whileAlive([this](const Handle &handle) { ended(handle); }));
-    endpoint.set_fail_handler(whileAlive([this](const Handle &handle) { ended(handle); }));
+    endpoint.set_close_handler(whileAlive([this](const Handle &handle) { handleClosed(handle); }));
+    endpoint.set_fail_handler(whileAlive([this](const Handle &handle) { handleClosed(handle); }));
 }
 
 std::optional<PeerAddress> PeerLinks::listen(const PeerAddress &address, PeerAddress advertised,
@@ -132,7 +132,7 @@
 {
     const auto endpoint = toEndpoint(address);
     if (!endpoint) {
-        fail(lastReason, address, "is no IP number and port");
+        fail(lastReason, address, "is not an IP address and port");
         return std::nullopt;
     }
     Error error;
@@ -168,13 +168,13 @@
     flush(to);
 }
 
-// A peer that does not read must not fill this instance's memory. What it gets too late is of
-// little use: probes repeat and settings are asked for again, so the oldest goes first.
+// Bounds the memory used for a peer that does not read. Late frames are of little use, as probes
+// and settings queries are sent again, so the oldest frame is dropped first.
 void PeerLinks::enqueue(const PeerAddress &to, std::string frame)
 {
     Queue &queue = queues_[to];
     if (queue.frames.empty())
-        queue.since = clock_.now();
+        queue.nonEmptySince = clock_.now();
     queue.bytes += frame.size();
     queue.frames.push_back(std::move(frame));
     while (queue.frames.size() > config_.maxQueuedFrames || queue.bytes > config_.maxQueuedBytes) {
@@ -193,7 +193,7 @@
     if (!link) {
         if (isDialling(to) || clock_.now() < found->second.nextDialAt)
             return;
-        found->second.nextDialAt = clock_.now() + config_.dialAgainAfter;
+        found->second.nextDialAt = clock_.now() + config_.redialInterval;
         dial(to);
         return;
     }
@@ -222,7 +222,7 @@
     return found == ready_.end() ? nullptr : found->second;
 }
 
-PeerLinks::LinkPtr PeerLinks::forget(Links::iterator entry)
+PeerLinks::LinkPtr PeerLinks::removeLink(Links::iterator entry)
 {
     LinkPtr link = entry->second;
     links_.erase(entry);
@@ -230,7 +230,7 @@
     if (found == ready_.end() || found->second != link)
         return link;
     ready_.erase(found);
-    // Both ends may have connected at once; the older link still serves.
+    // Both ends may have connected at the same time; the older link is still usable.
     for (const auto &[handle, other] : links_) {
         if (other->state() == PeerLink::State::Ready && other->peer() == link->peer())
             ready_[link->peer()] = other;
@@ -254,7 +254,7 @@
         ++stats_.dropped;
         return;
     }
-    makeRoom();
+    evictIfFull();
     Error error;
     const detail::PeerConnection connection = client_.get_connection("ws://" + to + "/", error);
     if (error)
@@ -265,8 +265,8 @@
     client_.connect(connection);
 }
 
-/** Closes the link that was idle for longest when there are as many as there may be. */
-void PeerLinks::makeRoom()
+/** At maxLinks, closes the link with the longest idle time. */
+void PeerLinks::evictIfFull()
 {
     if (links_.size() < config_.maxLinks)
         return;
@@ -280,40 +280,40 @@
     }
     if (oldest == links_.end())
         oldest = links_.begin();
-    forget(oldest)->close();
+    removeLink(oldest)->close();
 }
 
-bool PeerLinks::mayAccept()
+bool PeerLinks::canAccept()
 {
-    const auto strangers =
+    const auto unauthenticated =
         static_cast<std::size_t>(std::count_if(links_.begin(), links_.end(), [](const auto &entry) {
             return entry.second->isAccepted()
                 && entry.second->state() == PeerLink::State::Handshake;
         }));
-    return !isStopped_ && strangers < config_.maxStrangers;
+    return !isStopped_ && unauthenticated < config_.maxUnauthenticated;
 }
 
-void PeerLinks::accepted(const Handle &handle)
+void PeerLinks::handleAccepted(const Handle &handle)
 {
     Error error;
     const detail::PeerConnection connection = server_.get_con_from_hdl(handle, error);
     if (!connection)
         return;
-    makeRoom();
-    sendSmallFramesAtOnce(connection);
+    evictIfFull();
+    disableNagle(connection);
     const auto link =
         std::make_shared<PeerLink>(connection, AcceptingHandshake(secrets_, self_), clock_.now());
     links_[handle] = link;
-    link->opened();
+    link->handleOpen();
 }
 
-void PeerLinks::received(const Handle &handle, const std::string &bytes)
+void PeerLinks::handleMessage(const Handle &handle, const std::string &bytes)
 {
     const auto found = links_.find(handle);
     if (found == links_.end())
         return;
     const LinkPtr link = found->second;
-    PeerLink::Received result = link->receive(bytes, clock_.now());
+    PeerLink::MessageResult result = link->handleMessage(bytes, clock_.now());
     if (result.isRefused) {
         refuse(handle);
         return;
@@ -332,7 +332,7 @@
 
 void PeerLinks::refuse(const Handle &handle)
 {
-    const LinkPtr link = forget(links_.find(handle));
+    const LinkPtr link = removeLink(links_.find(handle));
     ++stats_.refused;
     events_(Event{&events::peerLinkRefused,
                   {{"accepted", link->isAccepted() ? "true" : "false"},
@@ -340,11 +340,11 @@
     link->close();
 }
 
-void PeerLinks::ended(const Handle &handle)
+void PeerLinks::handleClosed(const Handle &handle)
 {
     const auto found = links_.find(handle);
     if (found != links_.end())
-        forget(found);
+        removeLink(found);
 }
 
 void PeerLinks::scheduleTick()
@@ -369,9 +369,9 @@
         const auto found = links_.find(handle);
         if (found == links_.end() || !mustClose(*found->second, now))
             continue;
-        forget(found)->close();
+        removeLink(found)->close();
     }
-    dropOldQueues(now);
+    dropExpiredQueues(now);
     std::vector<PeerAddress> waiting;
     waiting.reserve(queues_.size());
     for (const auto &entry : queues_)
@@ -388,28 +388,28 @@
         ++stats_.refused;
         return true;
     }
-    const Millis quiet = now - link.lastReceivedAt();
-    // Something between the two ends may lose track of an open connection: no end, no reset, and
-    // frames go nowhere, while a new connection would work. Only answers show that it is alive.
-    if (quiet >= config_.silentAfter && guardEnabled(Guard::SilentLinkReplaced)) {
+    const Millis receiveAge = now - link.lastReceivedAt();
+    // A middlebox may drop the state of an open connection: neither FIN nor RST arrives and frames
+    // are lost, while a new connection would work. Only received data shows that a link is alive.
+    if (receiveAge >= config_.silentAfter && guardEnabled(Guard::SilentLinkReplaced)) {
         ++stats_.silent;
         events_(Event{&events::peerLinkReplaced, {{"peer", link.peer()}}});
         return true;
     }
-    if (now - link.lastFrameAt() >= config_.idleAfter)
+    if (now - link.lastFrameAt() >= config_.idleTimeout)
         return true;
-    if (quiet >= config_.pingAfter && now >= link.lastPingAt() + config_.pingAfter)
+    if (receiveAge >= config_.pingAfter && now >= link.lastPingAt() + config_.pingAfter)
         link.ping(now);
     return false;
 }
 
-void PeerLinks::dropOldQueues(Millis now)
+void PeerLinks::dropExpiredQueues(Millis now)
 {
     for (auto entry = queues_.begin(); entry != queues_.end();) {
-        const bool isOld = now >= entry->second.since + config_.silentAfter;
-        if (isOld)
+        const bool isExpired = now >= entry->second.nonEmptySince + config_.silentAfter;
+        if (isExpired)
             stats_.dropped += entry->second.frames.size();
-        entry = isOld ? queues_.erase(entry) : std::next(entry);
+        entry = isExpired ? queues_.erase(entry) : std::next(entry);
     }
 }
 
--- a/modules/peerlink/PeerLinks.h
+++ b/modules/peerlink/PeerLinks.h
@@ -22,7 +22,7 @@
 
 namespace cuminrail {
 
-/** Counters since the start, for metrics and tests. */
+/** Counters since start, for metrics and tests. */
 struct PeerLinksStats
 {
     std::uint64_t framesSent = 0;
@@ -37,11 +37,11 @@
 };
 
 /**
-    All links of one instance: connects on demand, accepts, authenticates, bounds and replaces.
+    All links of one instance: connects on demand, accepts, authenticates, limits and replaces them.
 
-    Runs on one io_context, which the control thread runs. A link is used both ways: an answer
-    goes back over the connection that the question came on. What is sent while a peer cannot be
-    reached waits in a bounded queue, from which the oldest is dropped.
+    Runs on one io_context, which the control thread runs. A link is used in both directions: a
+    reply is sent over the connection that carried the query. Frames for an unreachable peer wait
+    in a bounded queue; when it is full, the oldest is dropped.
 */
 class PeerLinks
 {
@@ -55,26 +55,27 @@
     PeerLinks &operator=(const PeerLinks &) = delete;
 
     /**
-        Listens on an IP number and port, port 0 for any free one.
+        Listens on an IP address and port; port 0 selects a free one.
 
-        @param advertised  the address that peers use, empty for the one listened on
-        @returns the address that peers use, or nothing and a reason
+        @param advertised  the address that peers use; if empty, the listening address
+        @returns the address that peers use, or nothing and sets lastReason
     */
     std::optional<PeerAddress> listen(const PeerAddress &address, PeerAddress advertised,
                                       Reason *lastReason = nullptr);
     void setFrameHandler(FrameHandler handler) { handler_ = std::move(handler); }
-    /** Sets other secrets for connections made from now on; existing ones stay. */
+    /** Sets the secrets of connections made from now on; existing links are kept. */
     void setSecrets(SharedSecrets secrets) { secrets_ = std::move(secrets); }
 
-    /** Returns the port for decision modules; valid as long as this object. */
+    /** Returns the transport port for decision modules; valid during this object's lifetime. */
     PeerTransport transport();
     void send(const PeerAddress &to, std::string frame);
-    /** Sets up a link if there is none, so that the first frame need not wait for that. */
+    /** Sets up a link if there is none, so that the first frame does not have to wait for it. */
     void connect(const PeerAddress &to);
-    /** Closes all links and stops listening; the io_context then runs out of work. */
+    /** Closes all links and stops listening; afterwards the io_context has no more work. */
     void stop();
 
-    /** Whether a link to the peer is ready; one that fell silent is closed within seconds. */
+    /** Returns true if a link to the peer is ready; one that stops receiving is closed in seconds.
+     */
     bool isLinked(const PeerAddress &peer) const { return ready_.count(peer) > 0; }
     std::size_t linkCount() const { return links_.size(); }
     const PeerLinksStats &stats() const { return stats_; }
@@ -84,16 +85,17 @@
     using LinkPtr = std::shared_ptr<PeerLink>;
     using Links = std::map<Handle, LinkPtr, std::owner_less<Handle>>;
 
-    /** What waits for one peer. */
+    /** Frames waiting for one peer. */
     struct Queue
     {
         std::deque<std::string> frames;
         std::size_t bytes = 0;
-        Millis since;
+        Millis nonEmptySince;
         Millis nextDialAt;
     };
 
-    /** Returns a handler that does nothing once this object is gone: connections outlive it. */
+    /** Returns a handler that does nothing after this object's destruction: connections outlive it.
+     */
     template<typename Function>
     auto whileAlive(Function function)
     {
@@ -108,25 +110,25 @@
     void setHandlers();
     template<typename Endpoint>
     void setCommonHandlers(Endpoint &endpoint);
-    bool mayAccept();
-    void accepted(const Handle &handle);
-    void received(const Handle &handle, const std::string &bytes);
-    void ended(const Handle &handle);
+    bool canAccept();
+    void handleAccepted(const Handle &handle);
+    void handleMessage(const Handle &handle, const std::string &bytes);
+    void handleClosed(const Handle &handle);
     void refuse(const Handle &handle);
 
     void enqueue(const PeerAddress &to, std::string frame);
     void flush(const PeerAddress &to);
     LinkPtr readyLink(const PeerAddress &to) const;
-    /** Takes a link out of all tables; it is not closed. */
-    LinkPtr forget(Links::iterator entry);
+    /** Removes a link from all tables without closing it. */
+    LinkPtr removeLink(Links::iterator entry);
     bool isDialling(const PeerAddress &to) const;
     void dial(const PeerAddress &to);
-    void makeRoom();
+    void evictIfFull();
 
     void scheduleTick();
     void tick();
     bool mustClose(PeerLink &link, Millis now);
-    void dropOldQueues(Millis now);
+    void dropExpiredQueues(Millis now);
 
     boost::asio::io_context &context_;
     PeerLinksConfig config_;
--- a/modules/peerlink/PeerLinksMembership_test.cpp
+++ b/modules/peerlink/PeerLinksMembership_test.cpp
@@ -15,7 +15,7 @@
 
 const SharedSecrets kSecrets{{"a secret for tests, long enough"}};
 
-/** A membership whose transport is a real link on loopback. */
+/** A membership whose transport uses real links on loopback. */
 struct LinkedMember
 {
     std::unique_ptr<PeerLinks> links;
@@ -23,7 +23,8 @@
     std::vector<UrgentFact> facts;
 };
 
-/** Members on one io_context; virtual time moves 10 ms with each round, whatever the machine. */
+/** Members on one io_context; virtual time advances 10 ms each round, independent of the machine.
+ */
 class LinkedMembers
 {
 public:
@@ -53,7 +54,7 @@
     }
 
 private:
-    // Before the members: their timers and sockets belong to it.
+    // Declared before the members: their timers and sockets use it.
     boost::asio::io_context context_;
     Millis now_{1000};
 
@@ -96,7 +97,7 @@
 
 } // namespace
 
-TEST_CASE("members find each other and pass urgent facts on over real links")
+TEST_CASE("members discover each other and distribute urgent facts over real links")
 {
     LinkedMembers all(5);
     REQUIRE(all.runUntil([&] {
@@ -116,8 +117,8 @@
     }
 }
 
-// A process is gone: its port refuses connections. Its peers notice over their real links.
-TEST_CASE("a member that is gone is declared dead over real links")
+// A process has ended and its port refuses connections. Its peers detect it over their real links.
+TEST_CASE("a member that ended is declared dead over real links")
 {
     LinkedMembers all(4);
     REQUIRE(all.runUntil([&] {
--- a/modules/peerlink/PeerLinks_test.cpp
+++ b/modules/peerlink/PeerLinks_test.cpp
@@ -18,11 +18,11 @@
 
 const std::string kSecret = "a secret for tests, long enough";
 
-/** Instances on loopback, on one io_context and a clock that tests move. */
-class Bench
+/** Peers on loopback, on one io_context and with a clock set by tests. */
+class LoopbackNetwork
 {
 public:
-    struct End
+    struct Peer
     {
         std::unique_ptr<PeerLinks> links;
         PeerAddress address;
@@ -30,32 +30,32 @@
         PeerAddress lastFrom;
     };
 
-    ~Bench()
+    ~LoopbackNetwork()
     {
-        for (const auto &end : ends_)
-            end->links->stop();
+        for (const auto &peer : peers_)
+            peer->links->stop();
         context.run_for(std::chrono::milliseconds(200));
     }
 
-    End &add(const SharedSecrets &secrets, PeerLinksConfig config = PeerLinksConfig())
+    Peer &add(const SharedSecrets &secrets, PeerLinksConfig config = PeerLinksConfig())
     {
-        ends_.push_back(std::make_unique<End>());
-        End &end = *ends_.back();
-        end.links = std::make_unique<PeerLinks>(context, config, secrets,
-                                                Clock([this] { return now; }), ignoreEvents());
+        peers_.push_back(std::make_unique<Peer>());
+        Peer &peer = *peers_.back();
+        peer.links = std::make_unique<PeerLinks>(context, config, secrets,
+                                                 Clock([this] { return now; }), ignoreEvents());
         Reason reason;
-        const auto address = end.links->listen("127.0.0.1:0", "", &reason);
+        const auto address = peer.links->listen("127.0.0.1:0", "", &reason);
         INFO(reason.toString());
         REQUIRE(address);
-        end.address = *address;
-        end.links->setFrameHandler([&end](const PeerAddress &from, std::string frame) {
-            end.lastFrom = from;
-            end.frames.push_back(std::move(frame));
+        peer.address = *address;
+        peer.links->setFrameHandler([&peer](const PeerAddress &from, std::string frame) {
+            peer.lastFrom = from;
+            peer.frames.push_back(std::move(frame));
         });
-        return end;
+        return peer;
     }
 
-    /** Runs until something holds; the limit is only there so that a failure ends. */
+    /** Runs until a condition holds; the limit only ends a failed test. */
     bool runUntil(const std::function<bool()> &holds)
     {
         const auto limit = std::chrono::steady_clock::now() + std::chrono::seconds(20);
@@ -68,7 +68,7 @@
     Millis now{1000000};
 
 private:
-    std::vector<std::unique_ptr<End>> ends_;
+    std::vector<std::unique_ptr<Peer>> peers_;
 };
 
 tcp::endpoint endpointOf(const PeerAddress &address)
@@ -79,112 +79,112 @@
 
 } // namespace
 
-TEST_CASE("frames go both ways over one connection, made on demand")
+TEST_CASE("frames are sent in both directions over one connection, made on demand")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    Bench::End &b = bench.add({{kSecret}});
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    LoopbackNetwork::Peer &b = network.add({{kSecret}});
     a.links->send(b.address, "question");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 1; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 1; }));
     CHECK(b.frames[0] == "question");
     CHECK(b.lastFrom == a.address);
     b.links->send(a.address, "answer");
-    REQUIRE(bench.runUntil([&] { return a.frames.size() == 1; }));
+    REQUIRE(network.runUntil([&] { return a.frames.size() == 1; }));
     CHECK(a.frames[0] == "answer");
     CHECK(b.links->stats().dialled == 0);
     const std::string large(FrameLimits::bytes, 'x');
     a.links->send(b.address, large);
-    a.links->send(b.address, large + "x"); // over the bound: not sent
+    a.links->send(b.address, large + "x"); // over the limit: not sent
     a.links->send(b.address, "last");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 3; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 3; }));
     CHECK(b.frames[1] == large);
     CHECK(b.frames[2] == "last");
     CHECK(a.links->stats().dropped == 1);
 }
 
-// Somebody who is no instance reaches the peers' port. It must learn nothing and change nothing,
-// and must not hold a connection for ever.
-TEST_CASE("a stranger learns nothing, changes nothing and is shown out")
+// A client without the secret connects to the peer port. It must learn nothing, change nothing and
+// not occupy a connection forever.
+TEST_CASE("an unauthenticated peer learns nothing, changes nothing and is disconnected")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    Bench::End &stranger = bench.add({{"some other secret, long enough"}});
-    stranger.links->send(a.address, "let me in");
-    REQUIRE(bench.runUntil([&] { return a.links->stats().refused == 1; }));
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    LoopbackNetwork::Peer &intruder = network.add({{"some other secret, long enough"}});
+    intruder.links->send(a.address, "let me in");
+    REQUIRE(network.runUntil([&] { return a.links->stats().refused == 1; }));
     CHECK(a.frames.empty());
-    CHECK(stranger.frames.empty());
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 0; }));
+    CHECK(intruder.frames.empty());
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() == 0; }));
 
-    // The other way round: the instance was given a stranger's address. It keeps what it has.
-    a.links->send(stranger.address, "for a peer only");
-    REQUIRE(bench.runUntil([&] { return stranger.links->stats().refused >= 1; }));
-    CHECK(stranger.frames.empty());
+    // The other direction: the instance connects to an unauthenticated peer and sends no frame.
+    a.links->send(intruder.address, "for a peer only");
+    REQUIRE(network.runUntil([&] { return intruder.links->stats().refused >= 1; }));
+    CHECK(intruder.frames.empty());
 }
 
-// A port scanner connects and says nothing, or speaks plain HTTP.
-TEST_CASE("connections that are no peers end in time and tell nothing")
+// A port scanner connects and sends nothing, or sends plain HTTP.
+TEST_CASE("connections of other clients are closed in time and reveal nothing")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    tcp::socket http(bench.context);
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    tcp::socket http(network.context);
     http.connect(endpointOf(a.address));
     boost::asio::write(http, boost::asio::buffer(std::string("GET / HTTP/1.1\r\nHost: x\r\n\r\n")));
-    std::string answer;
+    std::string response;
     boost::system::error_code ended;
     boost::asio::async_read(
-        http, boost::asio::dynamic_buffer(answer),
+        http, boost::asio::dynamic_buffer(response),
         [&](const boost::system::error_code &error, std::size_t) { ended = error; });
-    REQUIRE(bench.runUntil([&] { return bool(ended); }));
-    CHECK(answer.find("404") != std::string::npos);
-    CHECK(answer.find("cuminrail") == std::string::npos);
-    CHECK(answer.find("WebSocket") == std::string::npos);
+    REQUIRE(network.runUntil([&] { return bool(ended); }));
+    CHECK(response.find("404") != std::string::npos);
+    CHECK(response.find("cuminrail") == std::string::npos);
+    CHECK(response.find("WebSocket") == std::string::npos);
 
-    // One that upgrades, hears the challenge and then says nothing.
-    tcp::socket mute(bench.context);
-    mute.connect(endpointOf(a.address));
+    // One that upgrades, receives the challenge and then sends nothing.
+    tcp::socket idle(network.context);
+    idle.connect(endpointOf(a.address));
     boost::asio::write(
-        mute,
+        idle,
         boost::asio::buffer(std::string("GET / HTTP/1.1\r\nHost: x\r\nUpgrade: websocket\r\n"
                                         "Connection: Upgrade\r\nSec-WebSocket-Version: 13\r\n"
                                         "Sec-WebSocket-Key: dGhlIHNhbXBsZSBub25jZQ==\r\n\r\n")));
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 1; }));
-    bench.now += Millis::seconds(4);
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 0; }));
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() == 1; }));
+    network.now += Millis::seconds(4);
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() == 0; }));
     CHECK(a.links->stats().refused == 1);
 }
 
-// The secret is changed without a stop: at each step some instances have the new file and some
-// the old one, and all must go on hearing each other.
-TEST_CASE("the secret is rotated while links are made")
+// The secret is rotated without downtime: at each step some instances have the new file and some
+// the old one, and all must still be able to connect to each other.
+TEST_CASE("links can be made at every step of a rotation of the secret")
 {
     const std::string next = "the next secret, long enough too";
     const std::vector<SharedSecrets> steps = {
         {{kSecret}}, {{kSecret, next}}, {{next, kSecret}}, {{next}}};
     for (std::size_t step = 0; step + 1 < steps.size(); ++step) {
         INFO(step);
-        Bench bench;
-        Bench::End &before = bench.add(steps[step]);
-        Bench::End &after = bench.add(steps[step]);
+        LoopbackNetwork network;
+        LoopbackNetwork::Peer &before = network.add(steps[step]);
+        LoopbackNetwork::Peer &after = network.add(steps[step]);
         after.links->setSecrets(steps[step + 1]);
         before.links->send(after.address, "hello");
-        REQUIRE(bench.runUntil([&] { return after.frames.size() == 1; }));
-        Bench::End &third = bench.add(steps[step]);
+        REQUIRE(network.runUntil([&] { return after.frames.size() == 1; }));
+        LoopbackNetwork::Peer &third = network.add(steps[step]);
         after.links->send(third.address, "hello");
-        REQUIRE(bench.runUntil([&] { return third.frames.size() == 1; }));
+        REQUIRE(network.runUntil([&] { return third.frames.size() == 1; }));
     }
 }
 
-// A question to a peer is worth an answer within milliseconds; the first one would have to wait
-// until a link is set up. Links that will be needed are made before, and only once.
-TEST_CASE("a link that was made ahead carries the first frame at once")
+// A query to a peer needs its reply within milliseconds; the first would have to wait for the setup
+// of a link. Links that will be needed are made in advance, and only once.
+TEST_CASE("a link made in advance carries the first frame at once")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    Bench::End &b = bench.add({{kSecret}});
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    LoopbackNetwork::Peer &b = network.add({{kSecret}});
     a.links->connect(b.address);
     a.links->connect(b.address);
-    REQUIRE(bench.runUntil([&] { return b.links->linkCount() == 1; }));
-    REQUIRE(bench.runUntil([&] {
+    REQUIRE(network.runUntil([&] { return b.links->linkCount() == 1; }));
+    REQUIRE(network.runUntil([&] {
         a.links->connect(b.address);
         a.links->send(b.address, "one");
         return !b.frames.empty();
@@ -192,130 +192,131 @@
     // The other end uses the same link.
     b.links->connect(a.address);
     b.links->send(a.address, "two");
-    REQUIRE(bench.runUntil([&] { return !a.frames.empty(); }));
+    REQUIRE(network.runUntil([&] { return !a.frames.empty(); }));
     CHECK(a.links->stats().dialled == 1);
     CHECK(b.links->stats().dialled == 0);
 }
 
-// Both ends make a link at the same moment, and one of the two has to make room later. The other
-// one serves on; forgotten, every frame would wait for a third.
-TEST_CASE("of two links to one peer the one that is left is used")
+// Both ends make a link at the same time, and one of the two is evicted later. If the other were
+// not used, every frame would wait for a third link.
+TEST_CASE("of two links to one peer the remaining one is used")
 {
-    Bench bench;
+    LoopbackNetwork network;
     PeerLinksConfig narrow;
     narrow.maxLinks = 2;
-    Bench::End &a = bench.add({{kSecret}}, narrow);
-    Bench::End &b = bench.add({{kSecret}});
-    Bench::End &c = bench.add({{kSecret}});
+    LoopbackNetwork::Peer &a = network.add({{kSecret}}, narrow);
+    LoopbackNetwork::Peer &b = network.add({{kSecret}});
+    LoopbackNetwork::Peer &c = network.add({{kSecret}});
     a.links->connect(b.address);
     b.links->connect(a.address);
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 2 && b.links->linkCount() == 2; }));
-    bench.now += Millis(10);
+    REQUIRE(
+        network.runUntil([&] { return a.links->linkCount() == 2 && b.links->linkCount() == 2; }));
+    network.now += Millis(10);
     a.links->send(b.address, "one");
-    REQUIRE(bench.runUntil([&] { return !b.frames.empty(); }));
-    bench.now += Millis(10);
+    REQUIRE(network.runUntil([&] { return !b.frames.empty(); }));
+    network.now += Millis(10);
     a.links->connect(c.address);
-    REQUIRE(bench.runUntil([&] { return b.links->linkCount() == 1; }));
+    REQUIRE(network.runUntil([&] { return b.links->linkCount() == 1; }));
     a.links->send(b.address, "two");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 2; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 2; }));
     CHECK(a.links->stats().dialled == 2);
 }
 
-// An open connection has gone silent for good: something between the ends lost track of it, and
-// there is no end and no reset. New connections work. Without a look at progress every frame
-// would go nowhere, and the peer would be declared dead.
-TEST_CASE("a connection that went silent is replaced by a new one")
+// A middlebox dropped the state of an open connection: neither FIN nor RST arrives, while new
+// connections work. Without a receive time-out every frame would be lost and the peer declared
+// dead.
+TEST_CASE("a connection that stops receiving is replaced by a new one")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    Bench::End &b = bench.add({{kSecret}});
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    LoopbackNetwork::Peer &b = network.add({{kSecret}});
     a.links->send(b.address, "one");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 1; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 1; }));
     const std::uint64_t dialled = a.links->stats().dialled;
-    // The clock jumps past the limit without a frame or a pong in between, as if nothing came.
-    bench.now += Millis::seconds(11);
-    REQUIRE(bench.runUntil([&] { return a.links->stats().silent == 1; }));
+    // The clock jumps past the time-out without a frame or pong in between.
+    network.now += Millis::seconds(11);
+    REQUIRE(network.runUntil([&] { return a.links->stats().silent == 1; }));
     a.links->send(b.address, "two");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 2; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 2; }));
     CHECK(a.links->stats().dialled == dialled + 1);
 }
 
-TEST_CASE("a quiet link that answers pings is kept, an idle one is closed")
+TEST_CASE("a link without frames that answers pings is kept until its idle time-out")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
-    Bench::End &b = bench.add({{kSecret}});
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
+    LoopbackNetwork::Peer &b = network.add({{kSecret}});
     a.links->send(b.address, "one");
-    REQUIRE(bench.runUntil([&] { return b.frames.size() == 1; }));
+    REQUIRE(network.runUntil([&] { return b.frames.size() == 1; }));
     for (std::uint64_t step = 1; step < 10; ++step) {
-        bench.now += Millis::seconds(6);
-        REQUIRE(bench.runUntil(
+        network.now += Millis::seconds(6);
+        REQUIRE(network.runUntil(
             [&] { return a.links->stats().pongs == step && b.links->stats().pongs == step; }));
         CHECK(a.links->linkCount() == 1);
     }
     CHECK(a.links->stats().silent == 0);
-    bench.now += Millis::seconds(6);
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() + b.links->linkCount() == 0; }));
+    network.now += Millis::seconds(6);
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() + b.links->linkCount() == 0; }));
     CHECK(a.links->stats().silent == 0);
 }
 
-// A peer accepts the connection and never reads, or answers nothing. What is meant for it must
-// not pile up in this instance's memory.
-TEST_CASE("a peer that never answers costs a bounded queue")
+// A peer accepts the connection and never reads or responds. Frames for it must not accumulate in
+// this instance's memory.
+TEST_CASE("the queue for an unresponsive peer is bounded")
 {
-    Bench bench;
+    LoopbackNetwork network;
     PeerLinksConfig config;
     config.maxQueuedFrames = 10;
-    Bench::End &a = bench.add({{kSecret}}, config);
-    tcp::acceptor silent(bench.context, tcp::endpoint(tcp::v4(), 0));
-    const PeerAddress address = "127.0.0.1:" + std::to_string(silent.local_endpoint().port());
+    LoopbackNetwork::Peer &a = network.add({{kSecret}}, config);
+    tcp::acceptor unresponsive(network.context, tcp::endpoint(tcp::v4(), 0));
+    const PeerAddress address = "127.0.0.1:" + std::to_string(unresponsive.local_endpoint().port());
     for (int i = 0; i < 100; ++i)
         a.links->send(address, "frame");
     CHECK(a.links->stats().dropped == 90);
-    bench.now += Millis::seconds(11);
-    REQUIRE(bench.runUntil([&] { return a.links->stats().dropped == 100; }));
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 0; }));
+    network.now += Millis::seconds(11);
+    REQUIRE(network.runUntil([&] { return a.links->stats().dropped == 100; }));
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() == 0; }));
 }
 
-// More peers are spoken to than there may be connections: the one idle for longest gives way.
+// Frames go to more peers than connections are allowed: the one idle for longest is closed.
 TEST_CASE("the number of connections is bounded")
 {
-    Bench bench;
+    LoopbackNetwork network;
     PeerLinksConfig config;
     config.maxLinks = 3;
-    Bench::End &a = bench.add({{kSecret}}, config);
-    std::vector<Bench::End *> others;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}}, config);
+    std::vector<LoopbackNetwork::Peer *> others;
     for (int i = 0; i < 6; ++i) {
-        others.push_back(&bench.add({{kSecret}}));
+        others.push_back(&network.add({{kSecret}}));
         a.links->send(others.back()->address, "hello");
-        REQUIRE(bench.runUntil([&] { return others.back()->frames.size() == 1; }));
+        REQUIRE(network.runUntil([&] { return others.back()->frames.size() == 1; }));
         CHECK(a.links->linkCount() <= 3);
-        bench.now += Millis(10);
+        network.now += Millis(10);
     }
     a.links->send(others.front()->address, "again");
-    CHECK(bench.runUntil([&] { return others.front()->frames.size() == 2; }));
+    CHECK(network.runUntil([&] { return others.front()->frames.size() == 2; }));
 }
 
-// A peer is down for a moment. What was sent meanwhile arrives when it is back, as long as that is
-// soon.
-TEST_CASE("a peer that comes back is dialled again")
+// A peer is down for a short time. Frames sent meanwhile are delivered when it is back, if that is
+// before its queue expires.
+TEST_CASE("a peer that returns is dialled again")
 {
-    Bench bench;
-    Bench::End &a = bench.add({{kSecret}});
+    LoopbackNetwork network;
+    LoopbackNetwork::Peer &a = network.add({{kSecret}});
     PeerAddress address;
     {
-        tcp::acceptor probe(bench.context, tcp::endpoint(tcp::v4(), 0));
+        tcp::acceptor probe(network.context, tcp::endpoint(tcp::v4(), 0));
         address = "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
     }
     a.links->send(address, "early");
-    REQUIRE(bench.runUntil([&] { return a.links->linkCount() == 0; }));
-    PeerLinks late(bench.context, PeerLinksConfig(), {{kSecret}},
-                   Clock([&bench] { return bench.now; }), ignoreEvents());
+    REQUIRE(network.runUntil([&] { return a.links->linkCount() == 0; }));
+    PeerLinks late(network.context, PeerLinksConfig(), {{kSecret}},
+                   Clock([&network] { return network.now; }), ignoreEvents());
     std::vector<std::string> frames;
     late.setFrameHandler(
         [&](const PeerAddress &, std::string frame) { frames.push_back(std::move(frame)); });
     REQUIRE(late.listen(address, ""));
-    bench.now += Millis(600);
-    CHECK(bench.runUntil([&] { return frames.size() == 1; }));
+    network.now += Millis(600);
+    CHECK(network.runUntil([&] { return frames.size() == 1; }));
     late.stop();
 }
--- a/modules/peerlink/auth/FrameSeal.h
+++ b/modules/peerlink/auth/FrameSeal.h
@@ -10,9 +10,9 @@
 /**
     Numbers and authenticates the frames of one direction of one connection.
 
-    The key belongs to this connection and direction alone, and the receiver takes only the next
-    number: a frame that is altered, repeated, left out, moved to another connection or sent back
-    to its sender is refused.
+    The key is unique to this connection and direction, and the receiver accepts only the next
+    sequence number: altered, replayed, reordered or reflected frames and those of other
+    connections are rejected, and so is a frame after a lost one.
 */
 class FrameSeal
 {
@@ -25,7 +25,7 @@
 
     /** Returns the bytes to send for the next frame. */
     std::string seal(const std::string &frame);
-    /** Returns the frame in received bytes, or nothing when it is not the next one. */
+    /** Returns the frame in received bytes, or nothing when it is not the valid next one. */
     std::optional<std::string> open(const std::string &sealed);
 
 private:
--- a/modules/peerlink/auth/Hmac.cpp
+++ b/modules/peerlink/auth/Hmac.cpp
@@ -27,7 +27,7 @@
 std::string randomBytes(std::size_t count)
 {
     std::string bytes(count, '\0');
-    // Without randomness a nonce would repeat and an old answer could be replayed: go no further.
+    // Without randomness a nonce could repeat and an old response be replayed, so abort.
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(count)) != 1)
         std::abort();
     return bytes;
--- a/modules/peerlink/auth/Hmac.h
+++ b/modules/peerlink/auth/Hmac.h
@@ -11,10 +11,10 @@
 /** Returns the HMAC-SHA256 of a text. */
 std::string hmac(const std::string &key, const std::string &text);
 
-/** Compares in a time that does not depend on where the texts differ. */
+/** Compares in constant time, independent of where the texts differ. */
 bool equalInConstantTime(std::string_view left, std::string_view right);
 
-/** Returns so many random bytes, fit for nonces. */
+/** Returns cryptographically secure random bytes, for nonces. */
 std::string randomBytes(std::size_t count);
 
 } // namespace cuminrail::detail
--- a/modules/peerlink/auth/LinkHandshake.cpp
+++ b/modules/peerlink/auth/LinkHandshake.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::size_t kChallenge = AcceptingHandshake::challengeBytes;
 
-/** What both ends know before the proofs. */
+/** Values that both proofs cover. */
 struct Transcript
 {
     std::string acceptingChallenge;
@@ -21,7 +21,7 @@
 
     std::string prove(const std::string &secret, const std::string &label) const
     {
-        // A zero byte ends each text, so that no two transcripts give the same bytes.
+        // Each text is terminated by a zero byte, so that distinct transcripts give distinct bytes.
         return detail::hmac(secret,
                             "cuminrail peer link 1 " + label + '\0' + acceptingChallenge
                                 + connectingChallenge + connecting + '\0' + accepting + '\0');
@@ -44,7 +44,7 @@
 AcceptingHandshake::accept(const std::string &message) const
 {
     constexpr std::size_t kFixed = kChallenge + detail::kHmacBytes;
-    if (message.size() <= kFixed || message.size() > kFixed + maxAddress)
+    if (message.size() <= kFixed || message.size() > kFixed + maxAddressBytes)
         return std::nullopt;
     Transcript transcript;
     transcript.acceptingChallenge = challenge_;
@@ -58,7 +58,7 @@
         if (!isProved && guardEnabled(Guard::PeerAuthenticated))
             continue;
         Result result;
-        result.answer = transcript.prove(secret, "accepting");
+        result.proof = transcript.prove(secret, "accepting");
         result.keys = LinkKeys{transcript.seal(secret, "key of accepting"),
                                transcript.seal(secret, "key of connecting"), transcript.connecting};
         return result;
@@ -72,19 +72,19 @@
       ownChallenge_(detail::randomBytes(kChallenge))
 { }
 
-std::optional<std::string> ConnectingHandshake::answer(const std::string &challenge)
+std::optional<std::string> ConnectingHandshake::respond(const std::string &challenge)
 {
-    if (challenge.size() != kChallenge || !theirChallenge_.empty())
+    if (challenge.size() != kChallenge || !peerChallenge_.empty())
         return std::nullopt;
-    theirChallenge_ = challenge;
-    const Transcript transcript{theirChallenge_, ownChallenge_, self_, target_};
+    peerChallenge_ = challenge;
+    const Transcript transcript{peerChallenge_, ownChallenge_, self_, target_};
     return ownChallenge_ + transcript.prove(secrets_.secrets.front(), "connecting") + self_;
 }
 
 std::optional<LinkKeys> ConnectingHandshake::finish(const std::string &proof) const
 {
     const std::string &secret = secrets_.secrets.front();
-    const Transcript transcript{theirChallenge_, ownChallenge_, self_, target_};
+    const Transcript transcript{peerChallenge_, ownChallenge_, self_, target_};
     const bool isProved = detail::equalInConstantTime(proof, transcript.prove(secret, "accepting"));
     if (!isProved && guardEnabled(Guard::PeerAuthenticated))
         return std::nullopt;
--- a/modules/peerlink/auth/LinkHandshake.h
+++ b/modules/peerlink/auth/LinkHandshake.h
@@ -11,31 +11,31 @@
 
 namespace cuminrail {
 
-/** What both ends have after a handshake. */
+/** Result of a handshake at either end. */
 struct LinkKeys
 {
     std::unique_ptr<FrameSeal> outgoing;
     std::unique_ptr<FrameSeal> incoming;
-    /** Where the other end listens, as it proved. */
+    /** The other end's listening address, authenticated by its proof. */
     PeerAddress peer;
 };
 
 /**
-    The end that accepted a connection: challenge, check, answer.
+    Handshake at the accepting end: mutual challenge-response authentication.
 
-    1. It sends a random challenge, the same for strangers and peers, and nothing else.
-    2. The other end answers with a challenge of its own, its address and a proof over both
-       challenges, its address and the address it meant to reach.
-    3. A right proof is answered by a proof; a wrong one by nothing at all.
+    1. This end sends a random challenge and nothing else, whoever connected.
+    2. The connecting end responds with its own challenge, its address and a proof over both
+       challenges, its address and the address it intended to reach.
+    3. This end replies to a valid proof with its own proof, and to an invalid one with nothing.
 
-    The proofs of the two ends differ in their label, so neither can be reflected. Keys for frames
-    come from the secret and both challenges, so one who relays the handshake can send nothing.
+    The two ends' proofs use different labels, so neither can be reflected. Frame keys are derived
+    from the secret and both challenges, so an attacker who relays the handshake cannot send frames.
 */
 class AcceptingHandshake
 {
 public:
     static constexpr std::size_t challengeBytes = 32;
-    static constexpr std::size_t maxAddress = 64;
+    static constexpr std::size_t maxAddressBytes = 64;
 
     AcceptingHandshake(SharedSecrets secrets, PeerAddress self);
 
@@ -43,12 +43,12 @@
 
     struct Result
     {
-        /** To be sent back. */
-        std::string answer;
+        /** To be sent to the connecting end. */
+        std::string proof;
         LinkKeys keys;
     };
 
-    /** Checks the other end's message; nothing for a stranger. */
+    /** Verifies the connecting end's message; returns nothing if its proof is invalid. */
     std::optional<Result> accept(const std::string &message) const;
 
 private:
@@ -57,15 +57,15 @@
     std::string challenge_;
 };
 
-/** The end that made a connection. @see AcceptingHandshake */
+/** Handshake at the connecting end. @see AcceptingHandshake */
 class ConnectingHandshake
 {
 public:
     ConnectingHandshake(SharedSecrets secrets, PeerAddress self, PeerAddress target);
 
-    /** Returns the message that answers a challenge, or nothing for what is none. */
-    std::optional<std::string> answer(const std::string &challenge);
-    /** Checks the accepting end's proof; nothing for a stranger. */
+    /** Returns the response to a challenge, or nothing if the challenge is malformed. */
+    std::optional<std::string> respond(const std::string &challenge);
+    /** Verifies the accepting end's proof; returns nothing if it is invalid. */
     std::optional<LinkKeys> finish(const std::string &proof) const;
 
 private:
@@ -73,7 +73,7 @@
     PeerAddress self_;
     PeerAddress target_;
     std::string ownChallenge_;
-    std::string theirChallenge_;
+    std::string peerChallenge_;
 };
 
 } // namespace cuminrail
--- a/modules/peerlink/auth/LinkHandshake_test.cpp
+++ b/modules/peerlink/auth/LinkHandshake_test.cpp
@@ -18,12 +18,12 @@
     const char *name;
     SharedSecrets connecting;
     SharedSecrets accepting;
-    bool isJoined;
+    bool isAuthenticated;
 };
 
 } // namespace
 
-TEST_CASE("a link is joined by those who share a secret, through a rotation")
+TEST_CASE("the handshake succeeds between ends that share a secret, also during a rotation")
 {
     const HandshakeRow rows[] = {
         {"the same", {{kOld}}, {{kOld}}, true},
@@ -39,13 +39,13 @@
         INFO(row.name);
         AcceptingHandshake accepting(row.accepting, kB);
         ConnectingHandshake connecting(row.connecting, kA, kB);
-        const auto answer = connecting.answer(accepting.challenge());
-        REQUIRE(answer);
-        const auto result = accepting.accept(*answer);
-        CHECK(result.has_value() == row.isJoined);
+        const auto response = connecting.respond(accepting.challenge());
+        REQUIRE(response);
+        const auto result = accepting.accept(*response);
+        CHECK(result.has_value() == row.isAuthenticated);
         if (!result)
             continue;
-        const auto keys = connecting.finish(result->answer);
+        const auto keys = connecting.finish(result->proof);
         REQUIRE(keys);
         CHECK(result->keys.peer == kA);
         CHECK(result->keys.incoming->open(keys->outgoing->seal("there")) == "there");
@@ -53,30 +53,30 @@
     }
 }
 
-// A stranger records what peers say to each other, and says it again: to the same instance, to
-// another one, or back to its sender.
-TEST_CASE("what was heard elsewhere proves nothing")
+// An attacker records handshake messages and replays them: to the same instance, to another one, or
+// back to their sender.
+TEST_CASE("replayed, relayed and reflected handshake messages are rejected")
 {
     const SharedSecrets secrets{{kOld}};
     AcceptingHandshake first(secrets, kB);
     ConnectingHandshake connecting(secrets, kA, kB);
-    const std::string answer = *connecting.answer(first.challenge());
-    CHECK_FALSE(AcceptingHandshake(secrets, kB).accept(answer)); // another challenge
+    const std::string response = *connecting.respond(first.challenge());
+    CHECK_FALSE(AcceptingHandshake(secrets, kB).accept(response)); // another challenge
     AcceptingHandshake other(secrets, "10.0.0.3:7100");
     ConnectingHandshake relayed(secrets, kA, kB);
-    CHECK_FALSE(other.accept(*relayed.answer(other.challenge()))); // meant for another
-    const auto result = first.accept(answer);
+    CHECK_FALSE(other.accept(*relayed.respond(other.challenge()))); // meant for another
+    const auto result = first.accept(response);
     REQUIRE(result);
-    CHECK_FALSE(connecting.finish(answer.substr(32, 32))); // its own proof sent back
+    CHECK_FALSE(connecting.finish(response.substr(32, 32))); // its own proof sent back
     CHECK_FALSE(connecting.finish(""));
     CHECK_FALSE(connecting.finish(std::string(32, '\0')));
-    for (std::size_t length = 0; length < answer.size(); ++length)
-        CHECK_FALSE(first.accept(answer.substr(0, length)));
+    for (std::size_t length = 0; length < response.size(); ++length)
+        CHECK_FALSE(first.accept(response.substr(0, length)));
 }
 
-// Something between two instances repeats, alters or leaves out a frame, or moves it to another
-// connection. A withdrawn suspicion or an old digest would count as new.
-TEST_CASE("a frame is taken once, unaltered, in order, on its own connection and direction")
+// An intermediary replays, alters or drops a frame, or moves it to another connection. If it were
+// accepted, a withdrawn suspicion or an old digest would count as new.
+TEST_CASE("a frame is accepted only once, unaltered, in order, on its own connection and direction")
 {
     const std::string key(32, 'k');
     FrameSeal sender(key);
@@ -85,8 +85,8 @@
     const std::string two = sender.seal("two");
     const std::string three = sender.seal("three");
     CHECK(receiver.open(one) == "one");
-    CHECK_FALSE(receiver.open(one)); // repeated
-    CHECK_FALSE(receiver.open(three)); // one left out
+    CHECK_FALSE(receiver.open(one)); // replayed
+    CHECK_FALSE(receiver.open(three)); // one dropped
     std::string altered = two;
     altered.back() = 'x';
     CHECK_FALSE(receiver.open(altered));
@@ -96,7 +96,7 @@
     CHECK(receiver.open(two) == "two");
 }
 
-TEST_CASE("secrets are read strictly")
+TEST_CASE("a secrets file is validated strictly")
 {
     CHECK(SharedSecrets::fromText(kOld + "\n")->secrets.size() == 1);
     CHECK(SharedSecrets::fromText(kNew + "\r\n" + kOld)->secrets.front() == kNew);
--- a/modules/peerlink/auth/SharedSecrets.h
+++ b/modules/peerlink/auth/SharedSecrets.h
@@ -9,10 +9,10 @@
 namespace cuminrail {
 
 /**
-    The secret that all instances of a deployment share, and during a rotation a second one.
+    The secret shared by all instances of a deployment, and a second one during a rotation.
 
-    The first is used to prove, both are accepted. To rotate without a stop: add the new one as
-    second line everywhere, then exchange the lines everywhere, then remove the old one.
+    Proofs are made with the first; both are accepted. To rotate without downtime: add the new one
+    as second line on all instances, then swap the lines on all, then remove the old one.
 */
 struct SharedSecrets
 {
@@ -21,7 +21,7 @@
 
     std::vector<std::string> secrets;
 
-    /** Reads a secrets file's text: one or two lines of 16 to 256 characters. */
+    /** Parses a secrets file's text: one or two lines of 16 to 256 characters. */
     static std::optional<SharedSecrets> fromText(const std::string &text,
                                                  Reason *lastReason = nullptr);
 };
--- a/modules/peerlink/link/PeerEndpoints.h
+++ b/modules/peerlink/link/PeerEndpoints.h
@@ -10,9 +10,9 @@
 namespace cuminrail::detail {
 
 /**
-    One configuration for both ends, so that they share one type of connection.
+    Common configuration of both ends, so that they share one connection type.
 
-    The client's: it masks frames with random numbers, as the protocol demands of one end.
+    Based on the client's, as it has the random numbers with which a client must mask its frames.
 */
 struct PeerWebsocketConfig : public websocketpp::config::asio_client
 {
--- a/modules/peerlink/link/PeerLink.cpp
+++ b/modules/peerlink/link/PeerLink.cpp
@@ -15,58 +15,58 @@
       peer_(std::move(target)), createdAt_(now), lastReceivedAt_(now), lastFrameAt_(now)
 { }
 
-void PeerLink::opened()
+void PeerLink::handleOpen()
 {
     if (accepting_)
         write(accepting_->challenge());
 }
 
-PeerLink::Received PeerLink::receive(const std::string &bytes, Millis now)
+PeerLink::MessageResult PeerLink::handleMessage(const std::string &bytes, Millis now)
 {
-    noteProgress(now);
+    recordActivity(now);
     if (state_ == State::Handshake)
-        return receiveHandshake(bytes);
-    Received received;
+        return handleHandshakeMessage(bytes);
+    MessageResult result;
     if (state_ == State::Closed)
-        return received;
-    received.frame = keys_.incoming->open(bytes);
-    received.isRefused = !received.frame;
-    if (received.frame)
+        return result;
+    result.frame = keys_.incoming->open(bytes);
+    result.isRefused = !result.frame;
+    if (result.frame)
         lastFrameAt_ = now;
-    return received;
+    return result;
 }
 
-PeerLink::Received PeerLink::receiveHandshake(const std::string &bytes)
+PeerLink::MessageResult PeerLink::handleHandshakeMessage(const std::string &bytes)
 {
-    Received refused;
+    MessageResult refused;
     refused.isRefused = true;
     if (accepting_) {
         auto result = accepting_->accept(bytes);
         if (!result)
             return refused;
-        write(result->answer);
+        write(result->proof);
         return becomeReady(std::move(result->keys));
     }
     if (!hasAnsweredChallenge_) {
-        const auto answer = connecting_->answer(bytes);
-        if (!answer)
+        const auto response = connecting_->respond(bytes);
+        if (!response)
             return refused;
         hasAnsweredChallenge_ = true;
-        write(*answer);
+        write(*response);
         return {};
     }
     auto keys = connecting_->finish(bytes);
     return keys ? becomeReady(std::move(*keys)) : std::move(refused);
 }
 
-PeerLink::Received PeerLink::becomeReady(LinkKeys keys)
+PeerLink::MessageResult PeerLink::becomeReady(LinkKeys keys)
 {
     keys_ = std::move(keys);
     peer_ = keys_.peer;
     state_ = State::Ready;
-    Received received;
-    received.becameReady = true;
-    return received;
+    MessageResult result;
+    result.becameReady = true;
+    return result;
 }
 
 void PeerLink::send(const std::string &frame, Millis now)
@@ -77,7 +77,7 @@
 
 void PeerLink::write(const std::string &bytes)
 {
-    websocketpp::lib::error_code ignored; // a connection that is going away loses frames
+    websocketpp::lib::error_code ignored; // a closing connection may lose frames
     ignored = connection_->send(bytes, websocketpp::frame::opcode::binary);
 }
 
--- a/modules/peerlink/link/PeerLink.h
+++ b/modules/peerlink/link/PeerLink.h
@@ -12,33 +12,33 @@
 
 namespace cuminrail {
 
-/** Spans and bounds of links. */
+/** Time-outs and limits of links. */
 struct PeerLinksConfig
 {
-    /** How long a connection may take to prove the secret. */
+    /** Maximum duration of the handshake. */
     Millis handshakeTimeout{3000};
-    /** A link that received nothing for this long is asked for a sign of life. */
+    /** A link that received nothing for this long is pinged. */
     Millis pingAfter{5000};
-    /** A link that received nothing for this long is given up. */
+    /** A link that received nothing for this long is closed and counted as silent. */
     Millis silentAfter{10000};
     /** A link that carried no frame for this long is closed. */
-    Millis idleAfter{60000};
-    /** How soon a connection that failed is tried again. */
-    Millis dialAgainAfter{500};
+    Millis idleTimeout{60000};
+    /** Minimum time between two attempts to connect to a peer. */
+    Millis redialInterval{500};
     std::size_t maxLinks = 128;
-    /** Accepted connections that have not proved the secret yet. */
-    std::size_t maxStrangers = 32;
-    /** What may wait for one peer; beyond that the oldest is dropped. */
+    /** Maximum number of accepted connections that are not authenticated yet. */
+    std::size_t maxUnauthenticated = 32;
+    /** Limits of the frames waiting for one peer; beyond them the oldest is dropped. */
     std::size_t maxQueuedFrames = 256;
     std::size_t maxQueuedBytes = 512 * 1024;
-    /** How much of it is handed to the socket at a time. */
+    /** Maximum number of bytes buffered in the connection; the rest stays in the queue. */
     std::size_t maxSocketBytes = 128 * 1024;
 };
 
 /**
     One connection between two instances, from its handshake to its end.
 
-    Belongs to PeerLinks, on one thread.
+    Owned by PeerLinks and confined to its thread.
 */
 class PeerLink
 {
@@ -49,13 +49,13 @@
         Closed,
     };
 
-    /** What is to be done after bytes arrived. */
-    struct Received
+    /** Outcome of handling a received message. */
+    struct MessageResult
     {
         /** An authenticated frame for the instance. */
         std::optional<std::string> frame;
         bool becameReady = false;
-        /** The other end is a stranger, or what it sent is not what a peer sends. */
+        /** The other end failed authentication, or its message is invalid. */
         bool isRefused = false;
     };
 
@@ -65,14 +65,14 @@
     PeerLink(const PeerLink &) = delete;
     PeerLink &operator=(const PeerLink &) = delete;
 
-    /** The connection is open: an accepting end sends its challenge. */
-    void opened();
-    Received receive(const std::string &bytes, Millis now);
-    /** Anything arrived, be it a pong: the connection makes progress. */
-    void noteProgress(Millis now) { lastReceivedAt_ = now; }
+    /** Handles the opening of the connection: the accepting end sends its challenge. */
+    void handleOpen();
+    MessageResult handleMessage(const std::string &bytes, Millis now);
+    /** Records that a message or pong was received. */
+    void recordActivity(Millis now) { lastReceivedAt_ = now; }
     /** Sends a frame over a ready link. */
     void send(const std::string &frame, Millis now);
-    /** Asks for a sign of life, which the other end's library gives. */
+    /** Sends a ping, which the other end's websocket library answers with a pong. */
     void ping(Millis now);
     void close();
 
@@ -86,8 +86,8 @@
     std::size_t bufferedBytes() const { return connection_->get_buffered_amount(); }
 
 private:
-    Received receiveHandshake(const std::string &bytes);
-    Received becomeReady(LinkKeys keys);
+    MessageResult handleHandshakeMessage(const std::string &bytes);
+    MessageResult becomeReady(LinkKeys keys);
     void write(const std::string &bytes);
 
     detail::PeerConnection connection_;
--- a/modules/peerlink/peerlink.h
+++ b/modules/peerlink/peerlink.h
@@ -3,11 +3,12 @@
 /**
     Links between instances: websocket connections that carry authenticated frames.
 
-    Purpose: implements PeerTransport. Connections are made when there is something to send, at
-    most so many, and closed when idle. Both ends prove that they know the shared secret before a
-    frame is taken; each frame is authenticated and numbered. Silent connections are replaced.
+    Purpose: implements PeerTransport. Connections are made on demand, limited in number, and
+    closed when idle. Both ends prove that they know the shared secret before any frame is
+    accepted; each frame is authenticated and numbered. Connections that stop receiving are
+    replaced.
 
-    Depends on: core, ports, membership (frame bounds), websocketpp, Boost.Asio, OpenSSL.
+    Depends on: core, ports, membership (frame limits), websocketpp, Boost.Asio, OpenSSL.
 */
 
 #include "peerlink/PeerLinks.h"
