--- a/modules/net/server/HttpServer.h
+++ b/modules/net/server/HttpServer.h
@@ -28,7 +28,7 @@
     Millis headTimeout = Millis::seconds(10);
     /** Maximum time without a further byte of the body. */
     Millis bodyStallTimeout = Millis::seconds(10);
-    /** For the whole body, in addition to the time its bytes take at minBodyBytesPerMilli. */
+    /** For the complete body, in addition to the time its bytes take at minBodyBytesPerMilli. */
     Millis bodyTimeout = Millis::seconds(60);
     std::int64_t minBodyBytesPerMilli = 4;
     /** Between two requests. */
@@ -41,8 +41,7 @@
     std::uint32_t connections = 10000;
     /** Maximum total size of all request bodies over all threads that share the load. */
     std::uint64_t allBodyBytes = 256 * 1024 * 1024;
-    /** Status for a head over its limit; some interfaces distinguish it from a body over its limit.
-     */
+    /** Status for a head over its limit; some interfaces distinguish it from a large body. */
     int headTooLargeStatus = 413;
 };
 
@@ -70,8 +69,8 @@
 public:
     explicit BodyReservation(std::shared_ptr<ServerLoad> load) : load_(std::move(load)) { }
     ~BodyReservation() { release(); }
-    // The load is copied, not moved: the connection that hands over its body needs it for the next
-    // one. NOLINTBEGIN(performance-move-constructor-init)
+    // The load is copied, not moved: a connection needs it for its next request body.
+    // NOLINTBEGIN(performance-move-constructor-init)
     BodyReservation(BodyReservation &&other) noexcept
         : load_(other.load_), bytes_(std::exchange(other.bytes_, 0))
     { }
--- a/modules/net/upstream/UpstreamCall.h
+++ b/modules/net/upstream/UpstreamCall.h
@@ -46,8 +46,7 @@
     bool needsFreshConnection = false;
     /** Sends nothing: checks that a connection can be made, and keeps it for later requests. */
     bool isProbe = false;
-    /** Maximum idle time of a reused connection; a middlebox may have dropped the state of an older
-        one. */
+    /** Maximum idle time of a reused connection; middleboxes drop the state of older ones. */
     Millis longestIdle = Millis::never();
     /** Accepts a response delimited only by an orderly connection close. */
     bool allowsEndByClose = false;
