--- a/modules/dataplane/dataplane.h
+++ b/modules/dataplane/dataplane.h
@@ -1,11 +1,12 @@
 #pragma once
 
 /**
-    Decisions on the way of a request through an instance that serves declared routes.
+    Decisions about a request on its way through an instance that serves declared routes.
 
-    Which route and customer a request has, which upstreams of a service may get work, which engine
-    gets a prompt, whether a request may be sent once more, and what is counted for billing. Time
-    and observations go in, choices come out; nothing here does input or output.
+    Selects the route and customer of a request, the upstreams of a service that may get work and
+    the engine for a prompt; decides whether a request may be retried and what is counted for
+    billing. All functions take the time and observations as arguments and return a decision;
+    nothing here does input or output.
 
     Depends on core.
 */
--- a/modules/dataplane/model/Configuration.h
+++ b/modules/dataplane/model/Configuration.h
@@ -11,13 +11,13 @@
 
 namespace cuminrail {
 
-/** What may be done with a request of a route when an attempt's result is unknown. */
+/** Whether a request of a route may be retried when the result of an attempt is unknown. */
 enum class RouteKind : std::uint8_t {
-    /** Idempotent: may run more than once. */
+    /** Idempotent: may be executed more than once. */
     Safe,
-    /** Runs at most once. */
+    /** Executed at most once. */
     Unsafe,
-    /** Answers with a series of numbered events; resumable only where the route says so. */
+    /** The response is a series of numbered events; resumable only if Route::canResume is set. */
     Stream,
 };
 
@@ -27,15 +27,15 @@
     {RouteKind::Stream, "stream"},
 }}};
 
-/** One of the services that share a route's requests. */
+/** One of the services among which a route's requests are divided. */
 struct RouteTarget
 {
     std::string service;
-    /** Its part of the requests, against the sum of all weights of the route. */
+    /** Share of the requests, relative to the sum of all weights of the route. */
     std::uint32_t weight = 1;
 };
 
-/** Which requests go to which service, and how long they may take. */
+/** Maps requests by host and path to services, with their time limits and priority. */
 struct Route
 {
     std::string name;
@@ -44,43 +44,43 @@
     std::string pathPrefix;
     RouteKind kind = RouteKind::Unsafe;
     std::vector<RouteTarget> targets;
-    /** The longest that a caller is kept waiting for the end of its answer. */
+    /** Longest time from the request to the end of its response. */
     Millis timeout = Millis::seconds(10);
-    /** The time to a whole answer, or to a stream's first event, that counts as good service. */
+    /** Latency target: time to a complete response, or to the first event of a stream. */
     Millis goal = Millis::seconds(1);
-    /** The longest pause between two events of a stream that counts as good service. */
+    /** Target for the longest gap between two events of a stream. */
     Millis gapGoal = Millis::seconds(1);
     /** 0 is the most urgent. */
     int priority = 0;
-    /** To how many upstreams one request may be sent. */
+    /** Number of upstreams to which one request may be sent, the first attempt included. */
     int maxAttempts = 1;
-    /** Needs no caller key. */
+    /** Requests need no caller key. */
     bool isOpen = false;
-    /** Carries prompts, which run best where their first parts are cached. */
+    /** Requests carry prompts; engines that have a prompt's prefix cached are preferred. */
     bool hasPrompts = false;
-    /** A stream may go on at another upstream after its last delivered event. */
+    /** A broken stream may be continued at another upstream after its last delivered event. */
     bool canResume = false;
 
-    /** Returns true when a request may run more than once. */
+    /** Returns true when a request may be executed more than once. */
     bool isRepeatable() const
     {
         return kind == RouteKind::Safe || (kind == RouteKind::Stream && canResume);
     }
 };
 
-/** What is known of a service's engines before any of them has been seen. */
+/** Declared properties of a service's engines, used until an engine has reported its own. */
 struct EngineTraits
 {
     std::uint32_t slots = 1;
     std::uint64_t cacheTokens = 0;
-    /** Size of one cached token. */
+    /** Size of the KV cache of one token. */
     std::uint64_t cacheTokenBytes = 0;
     Millis handleLifetime = Millis::seconds(5);
-    /** How long an engine is away while it changes its role. */
+    /** How long an engine is unavailable while it changes its role. */
     Millis roleSwitch = Millis::seconds(3);
 };
 
-/** Within which bounds a service's upstreams may be ordered, for each failure domain. */
+/** Bounds for the number of a service's upstreams in each failure domain. */
 struct ScaleBounds
 {
     std::uint32_t least = 0;
@@ -98,7 +98,7 @@
     std::optional<ScaleBounds> scale;
 };
 
-/** What a caller may send, and how long it may take. */
+/** Limits on the size of a caller's request and on the time to send it. */
 struct CallerLimits
 {
     std::uint32_t headBytes = 16 * 1024;
@@ -107,21 +107,21 @@
     Millis idleTimeout = Millis::seconds(15);
 };
 
-/** A customer with the keys that its callers may use at present. */
+/** A customer with the keys that are currently valid for its callers. */
 struct CustomerKeys
 {
     std::string customer;
     std::vector<std::string> keys;
     /** Takes precedence over the routes' priorities. */
     std::optional<int> priority = std::nullopt;
-    /** Not set for a customer that may use as much as it likes. */
+    /** Not set for a customer without a limit. */
     std::optional<CustomerQuota> quota = std::nullopt;
 };
 
-/** All that operators declare, as of one version. */
+/** One version of everything that operators declare. */
 struct Configuration
 {
-    /** Rises with every change; versions need not be consecutive. */
+    /** Increases with every change; versions need not be consecutive. */
     std::uint64_t version = 0;
     std::vector<Route> routes;
     std::vector<Service> services;
--- a/modules/dataplane/model/CustomerQuota.h
+++ b/modules/dataplane/model/CustomerQuota.h
@@ -7,7 +7,7 @@
 
 namespace cuminrail {
 
-/** In what a customer's use is counted. */
+/** Unit in which a customer's use is counted. */
 enum class QuotaUnit : std::uint8_t { Requests, Tokens };
 
 inline constexpr NameTable<QuotaUnit, 2> quotaUnitNames{{{
@@ -15,32 +15,33 @@
     {QuotaUnit::Tokens, "tokens"},
 }}};
 
-/** What a customer may use of the system, over all instances together. */
+/** Token bucket for a customer's use of the system, over all instances together. */
 struct CustomerQuota
 {
     QuotaUnit unit = QuotaUnit::Requests;
-    /** Requests or tokens a second. */
+    /** Refill rate: requests or tokens per second. */
     double perSecond = 0;
-    /** What an idle customer saves up beyond that. */
+    /** Amount that an idle customer can accumulate. */
     double burst = 0;
-    /** Tokens that a request counts for that says nothing of its prompt. */
+    /** Tokens counted for a request that does not state the size of its prompt. */
     double plainTokens = 1;
 };
 
-/** How far the use of a customer may be over its quota, as no count over many instances is exact.
- */
+/**
+    How far the use of a customer may exceed its quota, since no count over many instances is exact.
+*/
 struct QuotaTolerance
 {
-    /** The span over which use is judged. */
+    /** Period over which use is compared with the quota. */
     Millis window = Millis::seconds(8);
-    /** Part of what the quota allows in a window. */
+    /** Tolerated excess, as a share of what the quota allows in a window. */
     double excess = 0;
-    /** In the quota's unit, besides. */
+    /** Fixed tolerated excess in addition, in the quota's unit. */
     double slack = 0;
-    /** Part of the tolerance that is granted in each window beyond the quota. */
+    /** Share of the tolerance that is granted beyond the quota in each window. */
     double granted = 0.35;
 
-    /** Returns how much over its quota a customer may be in a window, in the quota's unit. */
+    /** Returns by how much a customer may exceed its quota in a window, in the quota's unit. */
     double of(const CustomerQuota &quota) const
     {
         return excess * (quota.perSecond * window.toSeconds() + quota.burst) + slack;
--- a/modules/dataplane/model/InstanceSettings.h
+++ b/modules/dataplane/model/InstanceSettings.h
@@ -11,7 +11,7 @@
 
 namespace cuminrail {
 
-/** Where a process listens or connects. */
+/** Address on which a process listens or to which it connects. */
 struct HostPort
 {
     std::string host;
@@ -21,40 +21,40 @@
     bool isSet() const { return !host.empty(); }
 };
 
-/** What an instance learns at its start, and again when its settings change. */
+/** Settings that an instance reads at its start, and again when they change. */
 struct InstanceSettings
 {
     std::string name;
     std::string failureDomain;
-    /** Where callers come in. */
+    /** Listens for callers. */
     HostPort callers;
-    /** Where the balancer asks whether the instance is ready. */
+    /** Listens for the load balancer's readiness checks. */
     HostPort readiness;
-    /** Where other instances and operators ask for the state and the metrics. */
+    /** Serves state and metrics to other instances and operators. */
     HostPort admin;
-    /** Where other instances' links come in; not set where there are none. */
+    /** Listens for links of other instances; not set if links are not used. */
     HostPort links;
-    /** The platform's store. */
+    /** Address of the platform's store. */
     std::string store;
-    /** The platform's interface for duties; empty where there are none. */
+    /** Address of the platform's interface for duties; empty if there is none. */
     std::string duties;
     bool reportsUsage = false;
     bool ordersUpstreams = false;
-    /** The whole system starts for the first time: nothing of it ran before. */
+    /** First start of the whole system: no instance has run before. */
     bool isFirstStart = false;
     std::uint32_t memoryMb = 256;
     std::uint32_t descriptors = 1024;
     RetryBounds retries;
     QuotaTolerance quotas;
-    /** How far the limits that upstreams name may be exceeded, as the pages allow. */
+    /** How far the rate limits that upstreams state may be exceeded, as documented. */
     QuotaTolerance upstreamLimits{Millis(4000), 0.5, 5, 0};
-    /** Given on the command line; the settings file has nothing of it. */
+    /** Set on the command line only; not part of the settings file. */
     DecisionSettings decisions;
-    /** After a stop was asked for, the process is killed this much later. */
+    /** Time between the request to stop and the moment at which the process is killed. */
     Millis grace = Millis::seconds(8);
-    /** How late an instance may learn of a new configuration, or that an upstream is leaving. */
+    /** Longest delay until an instance knows a new configuration or that an upstream leaves. */
     Millis changeAllowance = Millis::seconds(2);
-    /** Length of a usage window, and how long after its end its report is due. */
+    /** Length of a usage window, and the time after its end by which its report is due. */
     Millis usageWindow = Millis::seconds(5);
     Millis usageDue = Millis::seconds(10);
 };
--- a/modules/dataplane/model/RequestMessages.h
+++ b/modules/dataplane/model/RequestMessages.h
@@ -10,37 +10,37 @@
 
 namespace cuminrail {
 
-/** A piece of a prompt that other requests may have in common. */
+/** A segment of a prompt that other requests may share. */
 struct PromptPart
 {
     std::string id;
     std::uint32_t tokens = 0;
 };
 
-/** What a caller says of its prompt. */
+/** Size and parts of a prompt as the caller states them. */
 struct PromptShape
 {
     std::string model;
     std::uint32_t inputTokens = 0;
     std::uint32_t outputTokensMost = 0;
-    /** In order; the last belongs to this request or its session alone. */
+    /** In order of the prompt; the last part is private to this request or its session. */
     std::vector<PromptPart> parts;
 };
 
-/** A caller's request, without what only concerns the wire. */
+/** A caller's request, independent of the wire protocol. */
 struct InboundRequest
 {
     std::string id;
-    /** How long the caller waits, from when the request arrived; nothing if it does not say. */
+    /** The caller's time-out, counted from the request's arrival; not set if not stated. */
     std::optional<Millis> patience;
-    /** The caller's key; never logged, never passed on. */
+    /** The caller's key; never logged and never forwarded. */
     std::string key;
     std::optional<PromptShape> prompt;
-    /** The last event that the caller has of an earlier, broken answer. */
+    /** Number of the last event that the caller received of an earlier, interrupted response. */
     std::optional<std::uint64_t> resumeAfter;
 };
 
-/** What an instance adds to or changes in a request that it passes on. */
+/** Fields that an instance adds to or changes in a request that it forwards. */
 struct OutboundFields
 {
     Millis timeLeft;
@@ -48,30 +48,31 @@
     /** Empty on routes that need no key. */
     std::string customer;
     std::optional<std::uint64_t> resumeAfter;
-    /** 0 is the most urgent, 9 the least; nothing for an upstream that knows no urgency. */
+    /** 0 is the most urgent, 9 the least; not set for an upstream that does not support it. */
     std::optional<int> urgency;
-    /** Only read the prompt, and keep its cache for whoever brings the handle. */
+    /** Prefill only: the engine keeps the KV cache for whoever presents the handle. */
     bool prefillOnly = false;
-    /** Where the prompt's cache can be fetched: address and handle. */
+    /** Address and handle under which the prompt's KV cache can be fetched. */
     std::string cacheSource;
-    /** The address of an engine from which the prompt's first parts can be fetched, or empty. */
+    /** Address of an engine from which the cache of the prompt's prefix can be fetched, or empty.
+     */
     std::string prefixSource;
 };
 
-/** What an upstream's answer says besides its status and body. */
+/** What an upstream's response states besides its status and body. */
 struct AnswerTraits
 {
-    /** The upstream states that it did not run the request. */
+    /** The upstream states that it did not execute the request. */
     bool isRefusedUnrun = false;
-    /** Another upstream than the one named has this address; it did not run the request either. */
+    /** The address belongs to another upstream than the one named; the request was not executed. */
     bool isOtherUpstream = false;
-    /** The upstream vouches for this answer, and its body came as the upstream made it. */
+    /** The upstream authenticated this response, and its body arrived unaltered. */
     bool isVouchedFor = false;
-    /** Requests a second that the upstream takes from all instances together, while it says so. */
+    /** Requests per second that the upstream accepts from all instances together, if stated. */
     std::optional<double> mostPerSecond;
 };
 
-/** A prompt's cache that waits at a prefill engine to be fetched once. */
+/** The KV cache of a prompt that a prefill engine keeps to be fetched once. */
 struct CacheHandle
 {
     std::string id;
--- a/modules/dataplane/model/RouteIndex.cpp
+++ b/modules/dataplane/model/RouteIndex.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-/** Returns a host in lower case and without its port. */
-std::string plainHost(std::string_view host)
+/** Returns the host in lower case and without the port. */
+std::string normalizedHost(std::string_view host)
 {
-    std::string plain(host.substr(0, host.rfind(':')));
-    std::transform(plain.begin(), plain.end(), plain.begin(),
+    std::string normalized(host.substr(0, host.rfind(':')));
+    std::transform(normalized.begin(), normalized.end(), normalized.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    return plain;
+    return normalized;
 }
 
 } // namespace
@@ -23,7 +23,7 @@
 RouteIndex::RouteIndex(Configuration configuration) : configuration_(std::move(configuration))
 {
     for (const Route &route : configuration_.routes)
-        byHost_[plainHost(route.host)].push_back(&route);
+        byHost_[normalizedHost(route.host)].push_back(&route);
     for (auto &[host, routes] : byHost_) {
         std::stable_sort(routes.begin(), routes.end(), [](const Route *a, const Route *b) {
             return a->pathPrefix.size() > b->pathPrefix.size();
@@ -39,7 +39,7 @@
 
 const Route *RouteIndex::find(std::string_view host, std::string_view path) const
 {
-    const auto found = byHost_.find(plainHost(host));
+    const auto found = byHost_.find(normalizedHost(host));
     if (found == byHost_.end())
         return nullptr;
     for (const Route *route : found->second) {
--- a/modules/dataplane/model/RouteIndex.h
+++ b/modules/dataplane/model/RouteIndex.h
@@ -8,14 +8,14 @@
 namespace cuminrail {
 
 /**
-    One version of the configuration, arranged for looking up a request's route and customer.
+    One version of the configuration, indexed to look up a request's route and customer.
 
-    Immutable, so that a request keeps the version under which it was accepted to its end.
+    Immutable: a request uses the version under which it was accepted until it ends.
 */
 class RouteIndex
 {
 public:
-    /** Who a caller key belongs to. */
+    /** The customer to whom a caller's key belongs, and the priority of its requests. */
     struct Caller
     {
         std::string customer;
@@ -26,13 +26,14 @@
     RouteIndex(const RouteIndex &) = delete;
     RouteIndex &operator=(const RouteIndex &) = delete;
 
-    /** Returns the route with the longest prefix of the path among those of the host, or null. */
+    /** Returns the host's route with the longest matching path prefix, or null. */
     const Route *find(std::string_view host, std::string_view path) const;
-    /** Returns the customer that holds a key, or null. */
+    /** Returns the customer to whom a key belongs, or null. */
     const Caller *caller(std::string_view key) const;
     const Service *service(const std::string &name) const;
     /**
-        Returns the service that serves a request; the same for the same request each time.
+        Returns the service for a request, by weighted hashing of the request's id: always the same
+        service for the same request.
 
         @see RouteTarget::weight
     */
--- a/modules/dataplane/model/RouteIndex_test.cpp
+++ b/modules/dataplane/model/RouteIndex_test.cpp
@@ -30,7 +30,9 @@
 
 } // namespace
 
-TEST_CASE("the longest prefix of the request's own host selects the route")
+// Guards against requests that reach another host's route, or a shorter prefix than the one that
+// matches, because host or prefix are compared inexactly.
+TEST_CASE("a request gets the route with the longest matching prefix of its own host")
 {
     struct Row
     {
@@ -53,7 +55,8 @@
     }
 }
 
-TEST_CASE("a key belongs to one customer, and an unknown one to none")
+// Guards against use counted for the wrong customer, and against access with an unknown key.
+TEST_CASE("a key identifies exactly one customer, and an unknown key none")
 {
     const RouteIndex index(twoHosts());
     REQUIRE(index.caller("key-2") != nullptr);
@@ -64,7 +67,9 @@
     CHECK(index.caller("key-4") == nullptr);
 }
 
-TEST_CASE("weights divide a route's requests, and a request keeps its service")
+// Guards against a retried request that reaches another service than its first attempt, and against
+// a division of requests that ignores the weights.
+TEST_CASE("requests are divided by weight, and the same request always gets the same service")
 {
     Route route = makeRoute("a.example", "/", "big");
     route.targets = {{"big", 90}, {"small", 10}};
--- a/modules/dataplane/model/UpstreamEntry.h
+++ b/modules/dataplane/model/UpstreamEntry.h
@@ -11,13 +11,13 @@
 
 namespace cuminrail {
 
-/** What part of a prompt's way an engine takes. */
+/** The stages of processing a prompt that an engine executes. */
 enum class EngineStage : std::uint8_t {
-    /** Not an engine, or one that does everything. */
+    /** Not an engine, or an engine that executes both stages. */
     Whole,
-    /** Only reads prompts and hands their cache over. */
+    /** Only executes prefill and passes the KV cache on. */
     Prefill,
-    /** Generates; reads prompts too, but more slowly than a prefill engine. */
+    /** Executes decode; also prefill, but more slowly than a prefill engine. */
     Decode,
 };
 
@@ -27,24 +27,24 @@
     {EngineStage::Decode, "decode"},
 }}};
 
-/** An upstream as it describes itself in the platform's store. */
+/** An upstream as it registers itself in the platform's store. */
 struct UpstreamEntry
 {
-    /** Names one upstream; kept over a restart by some. */
+    /** Identifies one upstream; some upstreams keep it over a restart. */
     std::string id;
     std::string service;
     /** "10.0.1.4:8000" */
     std::string address;
     std::string failureDomain;
-    /** When it started, in milliseconds since 1970 by its own clock; 0 where it does not say. */
+    /** Start time in milliseconds since 1970 by its own clock; 0 if not stated. */
     std::int64_t startedAt = 0;
     bool isLeaving = false;
-    /** Ordered at a lower price; may be reclaimed at short notice. */
+    /** Ordered at a lower price; the platform may reclaim it at short notice. */
     bool isReclaimable = false;
     std::uint32_t slots = 1;
     EngineStage stage = EngineStage::Whole;
 
-    /** The same at every instance; another one after a restart under the same id. */
+    /** Equal at all instances; differs after a restart under the same id. */
     UpstreamLife life() const
     {
         return StableHash().add(id).add(static_cast<std::uint64_t>(startedAt)).value();
