--- a/modules/dataplane/retry/RetryAllowance.h
+++ b/modules/dataplane/retry/RetryAllowance.h
@@ -8,48 +8,49 @@
 
 namespace cuminrail {
 
-/** How many repeated sends all instances together may make. */
+/** Limits on the retries of all instances together. */
 struct RetryBounds
 {
-    /** Repeats for each first send, over the window. */
+    /** Retries per first attempt, over the window. */
     double ratio = 0.2;
     Millis window = Millis::seconds(10);
-    /** Repeats beyond the ratio, over the window, of all instances together. */
+    /** Retries in addition to the ratio, over the window, of all instances together. */
     double extra = 0;
 };
 
 /**
-    One instance's part of the system's limit on repeated sends, for each service.
+    One instance's share of the system-wide retry limit, for each service.
 
-    When upstreams fail under overload, every instance repeats what failed, which multiplies the
-    load just when it hurts. Nobody needs to ask anybody: if each instance keeps its own repeats
-    below the ratio of its own first sends, all of them together do too. The fixed part is divided
-    by the number of instances.
+    When upstreams fail under overload, retries by every instance multiply the load on them. No
+    coordination is needed to limit that: if each instance keeps its retries below the ratio of its
+    own first attempts, all instances together do too. The fixed part of the limit is divided by the
+    number of instances.
 */
 class RetryAllowance
 {
 public:
-    /** Stays this far below the system's ratio, as requests still on their way shift windows. */
+    /** Share of the system's limit that is used, since requests in transit shift between windows.
+     */
     static constexpr double safety = 0.6;
 
     explicit RetryAllowance(RetryBounds bounds) : bounds_(bounds) { }
 
     void setInstances(std::size_t count) { instances_ = count == 0 ? 1 : count; }
-    /** Counts a request's first send. */
+    /** Counts the first attempt of a request. */
     void countFirst(const std::string &service, Millis now);
-    /** Returns true, and counts a repeat, when there is room for one. */
+    /** Counts a retry and returns true if the limit allows it; otherwise returns false. */
     bool takeRepeat(const std::string &service, Millis now);
 
 private:
     struct Window
     {
-        std::deque<Millis> firsts;
-        std::deque<Millis> repeats;
+        std::deque<Millis> firstAttempts;
+        std::deque<Millis> retries;
     };
     void expire(Window &window, Millis now) const;
 
     RetryBounds bounds_;
-    /** Until others are known: more than the systems of today have. */
+    /** Assumed until the other instances are known; more than present systems have. */
     std::size_t instances_ = 16;
     std::unordered_map<std::string, Window> windows_;
 };
