--- a/modules/dataplane/policy/DecisionSettings.cpp
+++ b/modules/dataplane/policy/DecisionSettings.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-/** One figure: its name, its bounds, and where it is kept. */
-struct Figure
+/** A setting: its name, its bounds, and the function that assigns its value. */
+struct Setting
 {
     const char *name;
-    double least;
-    double most;
+    double minValue;
+    double maxValue;
     std::function<void(DecisionSettings &, double)> assign;
 };
 
@@ -40,44 +40,44 @@
         [member](DecisionSettings &settings, double value) { settings.deferral.*member = value; };
 }
 
-Millis asMillis(double value)
+Millis toMillis(double value)
 {
     return Millis(static_cast<std::int64_t>(value));
 }
 
-constexpr double anyWeight = 1e6;
+constexpr double maxWeight = 1e6;
 
-/** Named in the tests and in the pages for operators; a name is never given another meaning. */
-const std::vector<Figure> &figures()
+/** The names are documented for operators and used in tests; none is ever given another meaning. */
+const std::vector<Setting> &settingTable()
 {
-    static const std::vector<Figure> table = {
-        {"domain-ms-per-kb", 0, anyWeight, weight(&PlacementWeights::domainMillisPerKilobyte)},
-        {"hand-over-ms", 0, anyWeight, weight(&PlacementWeights::handOverMillis)},
-        {"own-read-factor", 0, anyWeight, weight(&PlacementWeights::ownReadFactor)},
-        {"own-read-ms", 0, anyWeight, weight(&PlacementWeights::ownReadMillis)},
-        {"least-hand-over-tokens", 0, anyWeight, weight(&PlacementWeights::leastHandOverTokens)},
-        {"transfer-ms-per-token", 0, anyWeight, weight(&PlacementWeights::transferMillisPerToken)},
+    static const std::vector<Setting> table = {
+        {"domain-ms-per-kb", 0, maxWeight, weight(&PlacementWeights::domainMillisPerKilobyte)},
+        {"hand-over-ms", 0, maxWeight, weight(&PlacementWeights::handOverMillis)},
+        {"own-read-factor", 0, maxWeight, weight(&PlacementWeights::ownReadFactor)},
+        {"own-read-ms", 0, maxWeight, weight(&PlacementWeights::ownReadMillis)},
+        {"least-hand-over-tokens", 0, maxWeight, weight(&PlacementWeights::leastHandOverTokens)},
+        {"transfer-ms-per-token", 0, maxWeight, weight(&PlacementWeights::transferMillisPerToken)},
         {"least-fetch-tokens", 0, 1e9, weight(&PlacementWeights::leastFetchTokens)},
         {"home-confidence", 0, 1, weight(&PlacementWeights::homeConfidence)},
         {"second-home-confidence", 0, 1, weight(&PlacementWeights::secondHomeConfidence)},
-        {"read-weight", 0, anyWeight, weight(&PlacementWeights::readWeight)},
-        {"ms-per-running", 0, anyWeight, weight(&PlacementWeights::millisPerRunning)},
-        {"most-candidates", 1, anyWeight, weight(&PlacementWeights::mostCandidates)},
-        {"ms-per-bad-share", 0, anyWeight, weight(&PlacementWeights::millisPerBadShare)},
+        {"read-weight", 0, maxWeight, weight(&PlacementWeights::readWeight)},
+        {"ms-per-running", 0, maxWeight, weight(&PlacementWeights::millisPerRunning)},
+        {"most-candidates", 1, maxWeight, weight(&PlacementWeights::mostCandidates)},
+        {"ms-per-bad-share", 0, maxWeight, weight(&PlacementWeights::millisPerBadShare)},
         {"decode-share", 0, 1, stage(&StagePlanSettings::decodeShare)},
         {"concurrent-share", 0, 1, stage(&StagePlanSettings::concurrentShare)},
         {"gross-shortage", 0, 1, stage(&StagePlanSettings::grossShortage)},
-        {"dwell-ms", 0, anyWeight,
-         [](DecisionSettings &settings, double value) { settings.stages.dwell = asMillis(value); }},
+        {"dwell-ms", 0, maxWeight,
+         [](DecisionSettings &settings, double value) { settings.stages.dwell = toMillis(value); }},
         {"used-share", 0, 1, fleet(&FleetPlanSettings::usedShare)},
         {"kept-share", 0, 1, fleet(&FleetPlanSettings::keptShare)},
         {"substitute-share", 0, 1, fleet(&FleetPlanSettings::substituteShare)},
-        {"denial-borne-ms", 0, anyWeight,
+        {"denial-borne-ms", 0, maxWeight,
          [](DecisionSettings &settings, double value) {
-             settings.fleet.denialBorne = asMillis(value);
+             settings.fleet.denialBorne = toMillis(value);
          }},
-        {"on-time-share", 0, anyWeight, deferral(&DeferralSettings::goalShare)},
-        {"idle-wait-ms", 0, anyWeight, deferral(&DeferralSettings::idleWaitMillis)},
+        {"on-time-share", 0, maxWeight, deferral(&DeferralSettings::goalShare)},
+        {"idle-wait-ms", 0, maxWeight, deferral(&DeferralSettings::idleWaitMillis)},
         {"books-asked", 0, 16,
          [](DecisionSettings &settings, double value) { settings.booksAsked = value; }},
         {"late-urgency", 0, 9,
@@ -86,25 +86,25 @@
          [](DecisionSettings &settings, double value) { settings.feedWatchers = value; }},
         {"short-books-asked", 0, 16,
          [](DecisionSettings &settings, double value) { settings.shortBooksAsked = value; }},
-        {"least-book-tokens", 0, anyWeight,
+        {"least-book-tokens", 0, maxWeight,
          [](DecisionSettings &settings, double value) { settings.leastBookTokens = value; }},
-        {"substitutes-stay-ms", 0, anyWeight,
+        {"substitutes-stay-ms", 0, maxWeight,
          [](DecisionSettings &settings, double value) {
-             settings.fleet.substitutesStay = asMillis(value);
+             settings.fleet.substitutesStay = toMillis(value);
          }},
     };
     return table;
 }
 
-std::optional<double> numberIn(const std::string &text)
+std::optional<double> parseNumber(const std::string &text)
 {
     char *end = nullptr;
     const double value = std::strtod(text.c_str(), &end);
-    const bool isWhole = !text.empty() && end == text.c_str() + text.size();
-    return isWhole && std::isfinite(value) ? std::optional<double>(value) : std::nullopt;
+    const bool isFullyParsed = !text.empty() && end == text.c_str() + text.size();
+    return isFullyParsed && std::isfinite(value) ? std::optional<double>(value) : std::nullopt;
 }
 
-std::string plain(double value)
+std::string formatNumber(double value)
 {
     std::string text = std::to_string(value);
     text.erase(text.find_last_not_of('0') + 1);
@@ -119,26 +119,26 @@
 {
     const std::size_t equals = text.find('=');
     const std::string name = text.substr(0, equals);
-    for (const Figure &figure : figures()) {
-        if (name != figure.name)
+    for (const Setting &setting : settingTable()) {
+        if (name != setting.name)
             continue;
         const auto value =
-            equals == std::string::npos ? std::nullopt : numberIn(text.substr(equals + 1));
-        if (!value || *value < figure.least || *value > figure.most)
+            equals == std::string::npos ? std::nullopt : parseNumber(text.substr(equals + 1));
+        if (!value || *value < setting.minValue || *value > setting.maxValue)
             return fail(lastReason, name,
-                        "must be a number from " + plain(figure.least) + " to "
-                            + plain(figure.most));
-        figure.assign(*this, *value);
+                        "must be a number from " + formatNumber(setting.minValue) + " to "
+                            + formatNumber(setting.maxValue));
+        setting.assign(*this, *value);
         return true;
     }
-    return fail(lastReason, name, "is no figure that can be set");
+    return fail(lastReason, name, "is not a decision setting");
 }
 
 std::vector<std::string> DecisionSettings::names()
 {
     std::vector<std::string> all;
-    for (const Figure &figure : figures())
-        all.emplace_back(figure.name);
+    for (const Setting &setting : settingTable())
+        all.emplace_back(setting.name);
     return all;
 }
 
--- a/modules/dataplane/policy/DecisionSettings.h
+++ b/modules/dataplane/policy/DecisionSettings.h
@@ -12,8 +12,8 @@
 namespace cuminrail {
 
 /**
-    The figures that decisions weigh with. The defaults are what instances run with; an operator or
-   an experiment may set single ones by name.
+    Parameters of all decisions of the data plane. Instances run with the defaults; an operator or
+    an experiment can set single ones by name.
 */
 struct DecisionSettings
 {
@@ -22,47 +22,46 @@
     FleetPlanSettings fleet;
     DeferralSettings deferral;
     /**
-        Of how many engines the books are asked before a prompt is placed; 0 for none. More cost
-        messages and find little that is better.
+        Number of engines whose prefill trackers are queried before a prompt is placed; 0 for none.
+        Querying more costs messages and seldom finds a better engine.
     */
     double booksAsked = 8;
-    /**
-        The same for short prompts, which gain nothing from parts that an engine holds.
-    */
+    /** The same for short prompts, which gain nothing from parts that an engine has cached. */
     double shortBooksAsked = 3;
     /**
-        A prompt with fewer tokens to read is short: read within a chunk, it delays nobody, and is
-        not entered.
+        A prompt with fewer tokens to prefill is short: its prefill fits in one chunk and delays no
+        other prompt, so it is not announced to the engine's prefill tracker.
     */
     double leastBookTokens = 1000;
 
     /**
-        How urgent, 0 to 9 with 0 first, the reading of a prompt is that will be late: behind all
-        that can be on time.
+        Urgency, from 0 (first) to 9, of the prefill of a prompt that will miss its latency target:
+        it is processed after all prompts that can still meet theirs.
     */
     double lateUrgency = 8;
-    /** Instances of a failure domain that watch the store for the others there; 0 for all. */
+    /** Instances of a failure domain that watch the store on behalf of the others; 0 for all. */
     double feedWatchers = 2;
 
-    /** Returns of how many engines the books are asked for a prompt with so much to read. */
+    /** Returns how many engines' prefill trackers are queried for a prompt with @p freshTokens. */
     std::size_t booksAskedFor(double freshTokens) const
     {
         return static_cast<std::size_t>(freshTokens < leastBookTokens ? shortBooksAsked
                                                                       : booksAsked);
     }
-    /** Returns true for a prompt whose reading is entered in its engine's book. */
+    /** Returns true for a prompt whose prefill is announced to its engine's prefill tracker. */
     bool isEntered(double freshTokens) const
     {
         return booksAsked > 0 && freshTokens >= leastBookTokens;
     }
 
     /**
-        Takes over "NAME=VALUE". Returns false, with a reason that names the figure and its bounds,
-        for an unknown name, what is no number, or a value out of bounds; nothing changes then.
+        Applies a setting given as "NAME=VALUE". Returns false and changes nothing for an unknown
+        name, a value that is not a number, or a value out of bounds; @p lastReason then names the
+        setting and its bounds.
     */
     bool set(const std::string &text, Reason *lastReason);
 
-    /** The names that set() knows, in the order of the documentation. */
+    /** Returns the names that set() accepts, in the order of the documentation. */
     static std::vector<std::string> names();
 };
 
--- a/modules/dataplane/policy/DecisionSettings_test.cpp
+++ b/modules/dataplane/policy/DecisionSettings_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace cuminrail;
 
-TEST_CASE("every figure can be set by its name")
+// Guards against a setting that names() lists but set() does not accept, or accepts without bounds.
+TEST_CASE("every decision setting can be set by its name, within its bounds")
 {
     for (const std::string &name : DecisionSettings::names()) {
         CAPTURE(name);
@@ -15,7 +16,8 @@
     }
 }
 
-TEST_CASE("a figure that is set takes effect")
+// Guards against a name that is accepted and assigned to another parameter.
+TEST_CASE("a decision setting changes the parameter that it names")
 {
     DecisionSettings settings;
     Reason reason;
@@ -27,7 +29,8 @@
     CHECK(settings.stages.dwell == Millis(7000));
 }
 
-TEST_CASE("what cannot be set is refused with the place and the bounds, and changes nothing")
+// Guards against a mistyped setting that is silently ignored or takes effect as something else.
+TEST_CASE("an invalid setting is rejected with its name and bounds, and changes nothing")
 {
     struct Row
     {
@@ -41,8 +44,8 @@
              Row{"kept-share=0.2x", "kept-share", "must be a number from 0 to 1"},
              Row{"kept-share=nan", "kept-share", "must be a number from 0 to 1"},
              Row{"kept-share", "kept-share", "must be a number from 0 to 1"},
-             Row{"", "", "is no figure that can be set"},
-             Row{"speed=3", "speed", "is no figure that can be set"},
+             Row{"", "", "is not a decision setting"},
+             Row{"speed=3", "speed", "is not a decision setting"},
          }) {
         CAPTURE(row.text);
         DecisionSettings settings;
