--- a/modules/dataplane/usage/UsageLedger.h
+++ b/modules/dataplane/usage/UsageLedger.h
@@ -6,26 +6,29 @@
 
 namespace cuminrail {
 
-/** Requests that began to run, by customer. */
+/** Number of requests that began to execute, by customer. */
 using CustomerCounts = std::map<std::string, std::uint64_t>;
 
 /**
-    What one instance counted in each window of the wall clock. Counts only grow while a window is
-    kept, so writing the whole ledger again replaces the older state and never adds to it.
+    Requests that one instance counted in each window of the wall clock. Counts only increase while
+    a window is retained, so writing the whole ledger again replaces the stored state and never
+    counts a request twice.
 */
 class UsageLedger
 {
 public:
-    /** Windows kept: long enough to be read by whoever reports them, with the store away a while.
-     */
+    /**
+        Number of retained windows: enough for the reporting instance to read them even if the store
+        is unreachable for a while.
+    */
     static constexpr std::size_t keptWindows = 12;
 
     void count(std::int64_t window, const std::string &customer);
     const std::map<std::int64_t, CustomerCounts> &windows() const { return windows_; }
-    /** Rises with each count; tells whether there is something new to write. */
+    /** Increases with each count; shows whether there is anything new to write. */
     std::uint64_t changes() const { return changes_; }
 
-    /** Adds another ledger's figures of one window. */
+    /** Adds the counts of one window of another ledger. */
     static void add(CustomerCounts &sum, const CustomerCounts &part);
 
 private:
