--- a/modules/dataplane/waiting/CallerPatience.h
+++ b/modules/dataplane/waiting/CallerPatience.h
@@ -7,10 +7,10 @@
 namespace cuminrail {
 
 /**
-    Returns how long a stream's caller waits without an event before it leaves.
+    Returns how long a stream's caller waits without an event before it disconnects.
 
-    It is what the users' callers do by their interface's description: two seconds, four goals or
-    eight of the longest good pauses, whichever is longest.
+    The interface of the users' callers specifies it: two seconds, four times the latency target or
+    eight times the target for the gap between events, whichever is longest.
 */
 inline Millis callerPatience(Millis goal, Millis gapGoal)
 {
--- a/modules/dataplane/waiting/HeldPrompts.h
+++ b/modules/dataplane/waiting/HeldPrompts.h
@@ -8,19 +8,19 @@
 
 namespace cuminrail {
 
-/** The prompts that an instance keeps back at the moment, by route and time of arrival. */
+/** The prompts that are deferred at an instance, by route and time of arrival. */
 class HeldPrompts
 {
 public:
     void add(const std::string &route, Millis arrivedAt) { routes_[route].insert(arrivedAt); }
     void remove(const std::string &route, Millis arrivedAt)
     {
-        auto &held = routes_[route];
-        const auto found = held.find(arrivedAt);
-        if (found != held.end())
-            held.erase(found);
+        auto &arrivals = routes_[route];
+        const auto found = arrivals.find(arrivedAt);
+        if (found != arrivals.end())
+            arrivals.erase(found);
     }
-    /** Returns for how long the oldest prompt of a route has waited; 0 if none does. */
+    /** Returns how long a route's oldest deferred prompt has been waiting; 0 if there is none. */
     Millis oldestAge(const std::string &route, Millis now) const
     {
         const auto found = routes_.find(route);
--- a/modules/dataplane/waiting/PromptDeferral.h
+++ b/modules/dataplane/waiting/PromptDeferral.h
@@ -6,29 +6,29 @@
 
 namespace cuminrail {
 
-/** What can be said of a prompt if it were sent to the engine that suits it best. */
+/** Estimates for a prompt if it were sent to the best engine now, with its time limits. */
 struct PromptOutlook
 {
-    /** How long it would wait there behind others, and in all until its first event. */
+    /** Estimated wait for other prompts there, and estimated total time to its first event. */
     double waitMillis = 0;
     double firstEventMillis = 0;
-    /** Since the request came. */
+    /** Time since the request arrived. */
     Millis elapsed;
-    /** The time, from then on, in which an answer has its full worth. */
+    /** Latency target of the first event, counted from the request's arrival. */
     Millis goal;
-    /** The time after which its caller has left. */
+    /** Time after which the caller disconnects, counted from the request's arrival. */
     Millis patience;
-    /** For a prompt that is not kept back yet: how long the oldest of its route has been. */
+    /** Age of the route's oldest deferred prompt; set for a prompt that is not deferred yet. */
     Millis queueAge;
 };
 
 enum class PromptDecision : std::uint8_t {
     Send,
-    /** It would be late, and make others late: it waits at the instance until there is room. */
+    /** It would be late and make others late: it waits at the instance until an engine has room. */
     Hold,
     /**
-        Its caller will have left before anything can be answered, or those before it have waited
-        here so long that it will.
+        Its caller will disconnect before the first event, or the prompts deferred before it have
+        waited here so long that it would wait in vain too.
     */
     Refuse,
 };
@@ -36,25 +36,25 @@
 struct DeferralSettings
 {
     /**
-        A prompt counts as late if its first event is expected after this share of its goal: the
-        rest is for what the estimate does not see.
+        A prompt counts as late if its first event is estimated after this share of its latency
+        target: the rest is a margin for delays that the estimate does not cover.
     */
     double goalShare = 0.9;
     /**
-        An engine at which a prompt would wait no longer than this has room for late ones: it has
-        less to read than a usual long prompt's own part.
+        An engine at which a prompt would wait no longer than this has room for late prompts: its
+        pending prefill is shorter than that of the private part of a typical long prompt.
     */
     double idleWaitMillis = 60;
 };
 
 /**
-    Decides whether a prompt goes to an engine now.
+    Decides whether a prompt is sent to an engine, deferred or rejected.
 
-    When prompts come faster than engines read them, each one that is sent lengthens the queue there
-    for all that follow. Soon everything is late by the same time and the engines work only for
-    callers who have no use for the answer any more, although there would be room for most of them.
-    So a prompt that will be late anyway is kept back while engines are busy. The ones that come
-    next find short queues and are on time.
+    When prompts arrive faster than engines can prefill them, each one that is sent lengthens the
+    queue for all that follow. Soon all are late by the same time, and the engines work only for
+    callers who no longer need the response, although most prompts could be on time. So a prompt
+    that will be late anyway is deferred while engines are busy. Those that follow find short queues
+    and are on time.
 */
 class PromptDeferral
 {
--- a/modules/dataplane/waiting/PromptDeferral_test.cpp
+++ b/modules/dataplane/waiting/PromptDeferral_test.cpp
@@ -6,9 +6,10 @@
 
 using namespace cuminrail;
 
-// Prompts come faster than engines read them. Sent all the same, each one delays all that follow,
-// until callers get nothing in time although engines are busy all the while.
-TEST_CASE("a prompt goes out while it can be on time, or where there is room")
+// Guards against queues in which every prompt is late: prompts arrive faster than engines can
+// prefill them, and each one that is sent delays all that follow, until no caller gets a response
+// in time although the engines are always busy.
+TEST_CASE("a prompt is sent while it can be on time, or when an engine has room for late ones")
 {
     struct Row
     {
@@ -20,16 +21,17 @@
     };
     const Row rows[] = {
         {"an idle engine", 0, 300, 0, PromptDecision::Send},
-        {"just on time", 400, 700, 20, PromptDecision::Send},
-        {"late, and others wait there", 500, 800, 0, PromptDecision::Hold},
-        {"late because it waited here", 100, 400, 400, PromptDecision::Hold},
-        {"late by its own size alone", 0, 1500, 0, PromptDecision::Send},
-        {"late, but there is room now", 40, 400, 1500, PromptDecision::Send},
-        {"its caller leaves before it could begin", 500, 900, 2900, PromptDecision::Refuse},
-        {"its caller leaves, although there is room", 0, 500, 2800, PromptDecision::Refuse},
-        {"so long that its caller might leave, but there is room", 0, 5000, 5,
+        {"barely on time", 400, 700, 20, PromptDecision::Send},
+        {"late, and others wait at the engine", 500, 800, 0, PromptDecision::Hold},
+        {"late because it was deferred before", 100, 400, 400, PromptDecision::Hold},
+        {"late only because of its own size", 0, 1500, 0, PromptDecision::Send},
+        {"late, but the engine has room now", 40, 400, 1500, PromptDecision::Send},
+        {"its caller disconnects before it could start", 500, 900, 2900, PromptDecision::Refuse},
+        {"its caller disconnects although the engine has room", 0, 500, 2800,
+         PromptDecision::Refuse},
+        {"so long that its caller may disconnect, but the engine has room", 0, 5000, 5,
          PromptDecision::Send},
-        {"its caller is still there by then", 500, 700, 2900, PromptDecision::Hold},
+        {"its caller still waits by then", 500, 700, 2900, PromptDecision::Hold},
     };
     const PromptDeferral deferral;
     for (const Row &row : rows) {
@@ -44,9 +46,10 @@
     }
 }
 
-// Planners send more than engines can read for seconds. One that is told at once can come back when
-// there is room, one that waits for three seconds in vain cannot.
-TEST_CASE("a prompt is refused at once when those before it wait in vain")
+// Guards against prompts that wait in vain: for seconds, callers send more than engines can
+// prefill. A caller that is rejected at once can retry when there is room; one that waits for three
+// seconds first cannot.
+TEST_CASE("a prompt is rejected at once when those deferred before it wait in vain")
 {
     const PromptDeferral deferral;
     for (const int queueAge : {0, 1000, 2000, 2700, 2900, 3200}) {
@@ -57,42 +60,46 @@
         outlook.goal = Millis(800);
         outlook.patience = Millis(3200);
         outlook.queueAge = Millis(queueAge);
-        const bool isHopeless = queueAge + 400 > 3200;
+        const bool cannotSucceed = queueAge + 400 > 3200;
         CHECK(deferral.decide(outlook)
-              == (isHopeless ? PromptDecision::Refuse : PromptDecision::Hold));
+              == (cannotSucceed ? PromptDecision::Refuse : PromptDecision::Hold));
         outlook.waitMillis = 0;
         outlook.firstEventMillis = 400;
         CHECK(deferral.decide(outlook) == PromptDecision::Send);
     }
 }
 
-TEST_CASE("the oldest prompt that a route keeps back tells how long others wait")
+// Guards against a wrong age of a route's queue when prompts that arrived at the same time, or none
+// that is known, are removed.
+TEST_CASE("the age of a route's oldest deferred prompt follows additions and removals")
 {
-    HeldPrompts held;
-    CHECK(held.oldestAge("review", Millis(5000)) == Millis(0));
-    held.add("review", Millis(1000));
-    held.add("review", Millis(1000));
-    held.add("review", Millis(3000));
-    held.add("query", Millis(4000));
-    CHECK(held.oldestAge("review", Millis(5000)) == Millis(4000));
-    held.remove("review", Millis(1000));
-    CHECK(held.oldestAge("review", Millis(5000)) == Millis(4000));
-    held.remove("review", Millis(1000));
-    CHECK(held.oldestAge("review", Millis(5000)) == Millis(2000));
-    held.remove("review", Millis(9999));
-    CHECK(held.oldestAge("query", Millis(5000)) == Millis(1000));
+    HeldPrompts deferred;
+    CHECK(deferred.oldestAge("review", Millis(5000)) == Millis(0));
+    deferred.add("review", Millis(1000));
+    deferred.add("review", Millis(1000));
+    deferred.add("review", Millis(3000));
+    deferred.add("query", Millis(4000));
+    CHECK(deferred.oldestAge("review", Millis(5000)) == Millis(4000));
+    deferred.remove("review", Millis(1000));
+    CHECK(deferred.oldestAge("review", Millis(5000)) == Millis(4000));
+    deferred.remove("review", Millis(1000));
+    CHECK(deferred.oldestAge("review", Millis(5000)) == Millis(2000));
+    deferred.remove("review", Millis(9999));
+    CHECK(deferred.oldestAge("query", Millis(5000)) == Millis(1000));
 }
 
-TEST_CASE("callers wait two seconds, four goals or eight good pauses, whichever is longest")
+// Guards against prompts kept for callers that have disconnected, or rejected while they still
+// wait.
+TEST_CASE("a caller's time-out is the longest of two seconds, four targets and eight gap targets")
 {
     struct Row
     {
         int goal;
         int gapGoal;
-        int patience;
+        int timeoutMillis;
     };
     for (const Row &row : {Row{400, 200, 2000}, Row{800, 250, 3200}, Row{400, 400, 3200}}) {
-        CAPTURE(row.patience);
-        CHECK(callerPatience(Millis(row.goal), Millis(row.gapGoal)) == Millis(row.patience));
+        CAPTURE(row.timeoutMillis);
+        CHECK(callerPatience(Millis(row.goal), Millis(row.gapGoal)) == Millis(row.timeoutMillis));
     }
 }
