--- a/modules/dataplane/placement/EngineMemory.cpp
+++ b/modules/dataplane/placement/EngineMemory.cpp
@@ -7,113 +7,115 @@
 
 namespace {
 
-/** A sample with less work says more about the fixed part than about the rate. */
+/** Prompts with fewer tokens show the fixed part of the response time rather than the rate. */
 constexpr double sampleTokens = 1500.0;
-/** Two network delays and a step; and far more than any present engine's first step. */
-constexpr double leastFixedMillis = 5.0;
-constexpr double mostFixedMillis = 400.0;
-constexpr double slowestRate = 4.0;
-constexpr double fastestRate = 80.0;
+/** From two network delays and one step to far more than any present engine's first step. */
+constexpr double minFixedMillis = 5.0;
+constexpr double maxFixedMillis = 400.0;
+constexpr double minRate = 4.0;
+constexpr double maxRate = 80.0;
 
 } // namespace
 
-void EngineMemory::start(double freshTokens)
+void EngineMemory::requestSent(double freshTokens)
 {
-    openTokens_ += freshTokens;
-    tokensSinceTold_ += freshTokens;
+    pendingTokens_ += freshTokens;
+    tokensSinceReport_ += freshTokens;
     ++running_;
 }
 
-void ReadingRate::sample(double freshTokens, Millis took)
+void ReadingRate::addSample(double freshTokens, Millis duration)
 {
-    const double millis = static_cast<double>(took.count());
-    const double besides = millis - freshTokens / rate_;
-    fixedMillis_ += (besides < fixedMillis_ ? 0.2 : 0.01) * (besides - fixedMillis_);
-    fixedMillis_ = std::clamp(fixedMillis_, leastFixedMillis, mostFixedMillis);
+    const double millis = static_cast<double>(duration.count());
+    const double overheadMillis = millis - freshTokens / rate_;
+    fixedMillis_ += (overheadMillis < fixedMillis_ ? 0.2 : 0.01) * (overheadMillis - fixedMillis_);
+    fixedMillis_ = std::clamp(fixedMillis_, minFixedMillis, maxFixedMillis);
     if (freshTokens < sampleTokens || millis <= fixedMillis_)
         return;
-    const double seen = std::clamp(freshTokens / (millis - fixedMillis_), slowestRate, fastestRate);
-    // Waiting makes samples too low; parts cached unexpectedly make a few too high.
-    rate_ += (seen > rate_ ? 0.06 : 0.015) * (seen - rate_);
+    const double observedRate = std::clamp(freshTokens / (millis - fixedMillis_), minRate, maxRate);
+    // Waits in the engine's queue make samples too low; unexpected cache hits make a few too high.
+    rate_ += (observedRate > rate_ ? 0.06 : 0.015) * (observedRate - rate_);
 }
 
-void EngineMemory::expect(AnswerTicket ticket, double expectedMillis, Millis now)
+void EngineMemory::expectResponse(PendingResponseId responseId, double expectedMillis, Millis now)
 {
-    expected_.emplace(ticket, Expected{now, expectedMillis});
+    pendingResponses_.emplace(responseId, PendingResponse{now, expectedMillis});
 }
 
-void EngineMemory::answered(AnswerTicket ticket, Millis now)
+void EngineMemory::responseArrived(PendingResponseId responseId, Millis now)
 {
-    const auto found = expected_.find(ticket);
-    if (found == expected_.end())
+    const auto found = pendingResponses_.find(responseId);
+    if (found == pendingResponses_.end())
         return;
-    const double took = static_cast<double>((now - found->second.sentAt).count());
-    learn(std::max(0.0, took - found->second.millis), now);
-    expected_.erase(found);
+    const double duration = static_cast<double>((now - found->second.sentAt).count());
+    recordDelay(std::max(0.0, duration - found->second.expectedMillis), now);
+    pendingResponses_.erase(found);
 }
 
-void EngineMemory::gaveUp(AnswerTicket ticket, Millis now)
+void EngineMemory::responseAbandoned(PendingResponseId responseId, Millis now)
 {
-    if (expected_.count(ticket) == 0)
+    if (pendingResponses_.count(responseId) == 0)
         return;
-    lag_ = std::max(lagAt(now), overdue(now));
-    lagSeen_ = now;
-    expected_.erase(ticket);
+    delay_ = std::max(delayAt(now), overdueMillis(now));
+    delayUpdatedAt_ = now;
+    pendingResponses_.erase(responseId);
 }
 
-void EngineMemory::learn(double lateMillis, Millis now)
+void EngineMemory::recordDelay(double delayMillis, Millis now)
 {
-    lag_ = 0.5 * lagAt(now) + 0.5 * lateMillis;
-    lagSeen_ = now;
+    delay_ = 0.5 * delayAt(now) + 0.5 * delayMillis;
+    delayUpdatedAt_ = now;
 }
 
-double EngineMemory::overdue(Millis now) const
+double EngineMemory::overdueMillis(Millis now) const
 {
-    double most = 0;
-    for (const auto &[ticket, expected] : expected_)
-        most =
-            std::max(most, static_cast<double>((now - expected.sentAt).count()) - expected.millis);
-    return most;
+    double maxOverdue = 0;
+    for (const auto &[responseId, expected] : pendingResponses_)
+        maxOverdue = std::max(maxOverdue,
+                              static_cast<double>((now - expected.sentAt).count())
+                                  - expected.expectedMillis);
+    return maxOverdue;
 }
 
-void EngineMemory::read(double freshTokens)
+void EngineMemory::prefillCompleted(double freshTokens)
 {
-    openTokens_ = std::max(0.0, openTokens_ - freshTokens);
+    pendingTokens_ = std::max(0.0, pendingTokens_ - freshTokens);
 }
 
-void EngineMemory::finish(double freshTokens, bool wasRead)
+void EngineMemory::requestFinished(double freshTokens, bool wasPrefilled)
 {
-    if (!wasRead)
-        openTokens_ = std::max(0.0, openTokens_ - freshTokens);
+    if (!wasPrefilled)
+        pendingTokens_ = std::max(0.0, pendingTokens_ - freshTokens);
     running_ = std::max(0, running_ - 1);
 }
 
-void EngineMemory::refused(Millis now)
+void EngineMemory::requestRejected(Millis now)
 {
-    lag_ = std::max(lagAt(now), refusalLagMillis);
-    lagSeen_ = now;
+    delay_ = std::max(delayAt(now), rejectionDelayMillis);
+    delayUpdatedAt_ = now;
 }
 
-double EngineMemory::lagAt(Millis now) const
+double EngineMemory::delayAt(Millis now) const
 {
-    const double age = static_cast<double>((now - lagSeen_).count());
-    return lag_ * std::exp2(-age / lagHalfLifeMillis);
+    const double age = static_cast<double>((now - delayUpdatedAt_).count());
+    return delay_ * std::exp2(-age / delayHalfLifeMillis);
 }
 
-void EngineMemory::told(double waitMillis, Millis now)
+void EngineMemory::setReportedWait(double waitMillis, Millis now)
 {
-    told_ = waitMillis;
-    toldAt_ = now;
-    tokensSinceTold_ = 0;
+    reportedWait_ = waitMillis;
+    reportedAt_ = now;
+    tokensSinceReport_ = 0;
 }
 
 double EngineMemory::waitMillis(double rate, Millis now) const
 {
-    if (toldAt_ && now - *toldAt_ < toldHolds) {
-        const double left = told_ + tokensSinceTold_ / rate - double((now - *toldAt_).count());
-        return std::max({0.0, left, overdue(now)});
+    if (reportedAt_ && now - *reportedAt_ < reportedWaitValidity) {
+        const double remaining =
+            reportedWait_ + tokensSinceReport_ / rate - double((now - *reportedAt_).count());
+        return std::max({0.0, remaining, overdueMillis(now)});
     }
-    return openTokens_ / rate + std::max(lagAt(now), overdue(now));
+    return pendingTokens_ / rate + std::max(delayAt(now), overdueMillis(now));
 }
 
 } // namespace cuminrail
--- a/modules/dataplane/placement/EngineMemory.h
+++ b/modules/dataplane/placement/EngineMemory.h
@@ -9,110 +9,114 @@
 namespace cuminrail {
 
 /**
-    How fast engines of one kind read prompts, learned from how long reading took.
+    Estimates the prefill rate of engines of one kind from the duration of their responses.
 
-    One figure for all engines of a kind: figures of single engines, each from a few samples with
-    other instances' work in them, differed by a factor of two and drew prompts away from where
-    their parts are cached.
+    All engines of a kind share one estimate: estimates for single engines, each from a few samples
+    that include other instances' work, differ by a factor of two and draw prompts away from the
+    engines that have their parts cached.
 */
 class ReadingRate
 {
 public:
-    /** Prompt tokens in a millisecond until the first samples. */
-    static constexpr double usual = 30.0;
+    /** Prompt tokens per millisecond, assumed until the first samples. */
+    static constexpr double defaultRate = 30.0;
 
-    /** What an answer takes besides reading, until the first samples: a small idle engine's. */
-    static constexpr double usualFixedMillis = 45.0;
+    /** Fixed part of a response time, assumed until the first samples: that of a small idle engine.
+     */
+    static constexpr double defaultFixedMillis = 45.0;
 
-    void sample(double freshTokens, Millis took);
+    void addSample(double freshTokens, Millis duration);
     double tokensPerMilli() const { return rate_; }
     /**
-        Connecting, the engine's set-up and its first step: what the quickest answers took besides
-        reading. It differs between kinds of engines by 100 ms, a quarter of the tightest goal.
+        Returns the response time of the fastest responses apart from prefill: connection, the
+        engine's set-up and its first step. It differs between kinds of engines by 100 ms, a quarter
+        of the tightest latency target.
     */
     double fixedMillis() const { return fixedMillis_; }
 
 private:
-    double rate_ = usual;
-    double fixedMillis_ = usualFixedMillis;
+    double rate_ = defaultRate;
+    double fixedMillis_ = defaultFixedMillis;
 };
 
-/** Names an answer that is due from an engine; 0 is none. */
-using AnswerTicket = std::uint64_t;
+/** Identifies a response that is pending at an engine; 0 is none. */
+using PendingResponseId = std::uint64_t;
 
 /**
-    What this instance knows of one engine: the parts it sent there, the work it has under way
-    there, and the delay that its requests met of late.
+    This instance's estimate of the state of one engine: the prompt parts that it sent there, its
+    own pending work there, and the recent delay of its requests there.
 */
 class EngineMemory
 {
 public:
-    /** The delay of others' work fades by half in this time. */
-    static constexpr double lagHalfLifeMillis = 800.0;
-    /** What was told holds for so long; then too much unseen work may have come. */
-    static constexpr Millis toldHolds = Millis(1500);
-    /** The wait that a refusal stands for; with that half-life it is tried again after seconds. */
-    static constexpr double refusalLagMillis = 2000.0;
-
-    /** Returns how many of the prompt's tokens the engine probably holds. */
+    /** Half-life of the estimated delay by other instances' work. */
+    static constexpr double delayHalfLifeMillis = 800.0;
+    /** How long a reported wait is used; after that, too much unknown work may have arrived. */
+    static constexpr Millis reportedWaitValidity = Millis(1500);
+    /** Delay assumed after a rejection; by its half-life the engine is used again after seconds. */
+    static constexpr double rejectionDelayMillis = 2000.0;
+
+    /** Returns how many of the prompt's tokens the engine probably has cached. */
     std::uint32_t cachedTokens(const PromptChain &chain) const
     {
         return parts_.cachedTokens(chain);
     }
     void remember(const PromptChain &chain) { parts_.remember(chain); }
 
-    /** A request was sent there, with so many prompt tokens to read. */
-    void start(double freshTokens);
+    /** Call when a request with @p freshTokens prompt tokens to prefill has been sent there. */
+    void requestSent(double freshTokens);
     /**
-        An answer is due after this long. While it is overdue, the engine counts as delayed by as
-        much: the work of other instances is invisible, and without this an engine looked idle from
-        the moment it stopped answering until its first late answer.
+        Registers a response that is expected after @p expectedMillis. While it is overdue, the
+        engine counts as delayed by the same amount: the work of other instances is not visible
+        here, and without this an engine would look idle from the moment it stops responding until
+        its first late response.
     */
-    void expect(AnswerTicket ticket, double expectedMillis, Millis now);
-    /** It came, so much later than expected as others' work delayed it. */
-    void answered(AnswerTicket ticket, Millis now);
-    /** It is not waited for any more. What it was overdue by remains known for a while. */
-    void gaveUp(AnswerTicket ticket, Millis now);
-    /** The prompt has been read. */
-    void read(double freshTokens);
-    void finish(double freshTokens, bool wasRead);
+    void expectResponse(PendingResponseId responseId, double expectedMillis, Millis now);
+    /** Call when it arrived; its lateness is attributed to other instances' work. */
+    void responseArrived(PendingResponseId responseId, Millis now);
+    /** Call when it is no longer awaited. The time by which it is overdue counts as recent delay.
+     */
+    void responseAbandoned(PendingResponseId responseId, Millis now);
+    /** Call when the engine has completed the prefill of a prompt. */
+    void prefillCompleted(double freshTokens);
+    void requestFinished(double freshTokens, bool wasPrefilled);
     /**
-        It refused a request. It may be changing its stage or be full of others' work; for a moment
-        it counts as if a prompt had met a long wait there.
+        Call when it rejected a request. It may be changing its stage or be full of other instances'
+        work; for a moment it counts as if a prompt had waited there for long.
     */
-    void refused(Millis now);
+    void requestRejected(Millis now);
 
-    /** Whoever knows the work of all instances there tells how long a prompt waits. */
-    void told(double waitMillis, Millis now);
+    /** Sets the wait that the owner of the engine's prefill tracker reported for all instances. */
+    void setReportedWait(double waitMillis, Millis now);
 
-    /** Returns how long a prompt waits there before it is read. */
+    /** Returns the estimated wait of a prompt there before its prefill starts. */
     double waitMillis(double rate, Millis now) const;
     int running() const { return running_; }
-    double openTokens() const { return openTokens_; }
+    double openTokens() const { return pendingTokens_; }
 
 private:
-    struct Expected
+    struct PendingResponse
     {
         Millis sentAt;
-        double millis = 0;
+        double expectedMillis = 0;
     };
 
-    double lagAt(Millis now) const;
-    double overdue(Millis now) const;
-    void learn(double lateMillis, Millis now);
+    double delayAt(Millis now) const;
+    double overdueMillis(Millis now) const;
+    void recordDelay(double delayMillis, Millis now);
 
     RememberedParts parts_;
-    /** Prompt tokens sent by this instance and not yet read. */
-    double openTokens_ = 0;
+    /** Prompt tokens sent by this instance whose prefill has not completed. */
+    double pendingTokens_ = 0;
     int running_ = 0;
-    /** Answers that are still due, in the order of sending. */
-    std::map<AnswerTicket, Expected> expected_;
-    double lag_ = 0;
-    Millis lagSeen_;
-    double told_ = 0;
-    std::optional<Millis> toldAt_;
-    /** Prompt tokens sent by this instance since then. */
-    double tokensSinceTold_ = 0;
+    /** Pending responses, in the order of sending. */
+    std::map<PendingResponseId, PendingResponse> pendingResponses_;
+    double delay_ = 0;
+    Millis delayUpdatedAt_;
+    double reportedWait_ = 0;
+    std::optional<Millis> reportedAt_;
+    /** Prompt tokens sent by this instance since that report. */
+    double tokensSinceReport_ = 0;
 };
 
 } // namespace cuminrail
--- a/modules/dataplane/placement/EnginePlacement.h
+++ b/modules/dataplane/placement/EnginePlacement.h
@@ -10,143 +10,146 @@
 
 namespace cuminrail {
 
-/** What weighs how much when an engine is chosen; times stand for everything else. */
+/** Weights of the selection of an engine; all costs are expressed as milliseconds of delay. */
 struct PlacementWeights
 {
     /**
-        Sending a kilobyte to another failure domain counts as this much delay, as bytes between
-        domains are charged by the platform.
+        Cost of a kilobyte sent to another failure domain, since the platform charges for traffic
+        between domains.
     */
     double domainMillisPerKilobyte = 6.0;
-    /** Handing a read prompt over: two more messages and the engine's set-up. */
+    /** Cost of disaggregated prefill: two more messages and the decode engine's set-up. */
     double handOverMillis = 40.0;
     /**
-        A prompt read where others generate stretches every pause there, as each step that reads
-        takes longer and an event holds several steps. So handing over may take this much longer
-        than reading there; with the shorter estimate deciding, streams miss their pauses in swings.
+        Prefill on a decode engine lengthens the gaps of all its streams, as each step with prefill
+        takes longer and an event consists of several steps. So disaggregated prefill is used unless
+        its cost exceeds that of prefill on the decode engine by this factor plus ownReadMillis. If
+        the lower estimate alone decided, streams would miss their gap targets in swings.
     */
     double ownReadFactor = 10.0;
     double ownReadMillis = 300.0;
-    /** Below this handing over costs more messages than it could save. */
+    /** With fewer tokens, disaggregated prefill costs more messages than it can save. */
     double leastHandOverTokens = 30;
-    /** Transfer of a cached token between engines, 18 KB at 180 Gbit/s, and what it costs. */
+    /** Transfer of a token's KV cache between engines, 18 KB at 180 Gbit/s, including its cost. */
     double transferMillisPerToken = 0.004;
     /**
-        Having an engine fetch a part that another one has read: the set-up, and the time a token
-        takes, twice for other domains' links. Spares reading again what a lost or busy engine held.
+        Cost of fetching a cached prefix from another engine: set-up, and the time per token, which
+        is twice that within a domain to allow for links between domains. Fetching avoids a second
+        prefill of what a lost or busy engine had cached.
     */
     double fetchMillis = 15.0;
     double fetchMillisPerToken = 0.002;
-    /** Less than this is read sooner than fetched. */
+    /** Prefill of fewer tokens is faster than fetching them. */
     double leastFetchTokens = 2000;
-    /** An engine that is likely to hold a part which this instance never sent there. */
+    /** Assumed probability that a part's home has it cached without this instance's requests. */
     double homeConfidence = 0.8;
-    /** The same for the engine that comes second. */
+    /** The same for the engine that is second in the part's ranking. */
     double secondHomeConfidence = 0.3;
-    /**
-        Reading also keeps everybody else waiting there; so its time counts this many times.
-    */
+    /** Factor for prefill time, since prefill also delays all other prompts on that engine. */
     double readWeight = 2.0;
-    /** One request more on an engine stretches each step of its batch. */
+    /** Cost per running request, since each one lengthens the steps of the engine's batch. */
     double millisPerRunning = 4.0;
     /**
-        Engines of a stage that are looked at for one prompt, in the order of their affinity: more
-        of them cost time for each choice and hardly ever change it.
+        Number of engines of a stage that are evaluated for one prompt, in the order of affinity:
+        more of them cost time for each choice and hardly ever change it.
     */
     double mostCandidates = 16;
-    /** An engine whose requests failed of late, per share of failures. */
+    /** Cost of recently failed requests, per share of failures. */
     double millisPerBadShare = 1500.0;
 };
 
-/** Where a prompt goes. */
+/** The engines selected for a prompt. */
 struct EngineChoice
 {
-    /** Runs the request, and reads its prompt unless @c prefill is set. */
+    /** Executes decode, and also prefill unless @c prefill is set. */
     UpstreamPointer engine;
-    /** Reads the prompt first and hands it over. */
+    /** Executes prefill and passes the KV cache to @c engine; null without disaggregation. */
     UpstreamPointer prefill;
-    /** Has read the prompt's first parts, which the reading engine is to fetch from there. */
+    /** Has the prompt's prefix cached; the engine that executes prefill fetches it from there. */
     UpstreamPointer prefixFrom;
-    /** Prompt tokens that the reading engine must work through, as far as is known here. */
+    /** Estimated number of prompt tokens to prefill. */
     double freshTokens = 0;
-    /** What this choice costs, in the placement's weighed milliseconds. */
+    /** Cost of this choice in weighted milliseconds, see PlacementWeights. */
     double expectedMillis = 0;
-    /** Expected wait at the reading engine, and expected time to the first event. */
+    /** Estimated wait before prefill, and estimated time to the first event. */
     double waitMillis = 0;
     double firstEventMillis = 0;
-    /** What is due from the reading engine, and from another one that generates. */
-    AnswerTicket readTicket = 0;
-    AnswerTicket runTicket = 0;
+    /** Pending responses: of the engine that executes prefill, and of a separate decode engine. */
+    PendingResponseId prefillResponseId = 0;
+    PendingResponseId decodeResponseId = 0;
 };
 
-/** What is asked of a placement. */
+/** Input of EnginePlacement::choose(). */
 struct PlacementQuery
 {
     const PromptShape *prompt = nullptr;
     std::size_t bodyBytes = 0;
     std::string ownDomain;
-    /** Upstreams that had this request already. */
+    /** Upstreams to which this request was sent before. */
     const std::set<std::string> *tried = nullptr;
     Millis now;
-    /** False once handing a prompt over has failed for this request. */
+    /** False once disaggregated prefill has failed for this request. */
     bool allowsHandOver = true;
-    /** Share of bad outcomes, and whether an engine is set aside; asked for each candidate. */
+    /** Share of bad outcomes, and whether an engine is ejected; called for each candidate. */
     std::function<double(const std::string &id)> badShare;
     std::function<bool(const std::string &id)> isSetAside;
-    /** What the engine's book says of this prompt, where it was asked; may be empty. */
+    /** Estimate of the engine's prefill tracker for this prompt, if it was queried; may be empty.
+     */
     std::function<std::optional<ReadingOffer>(const std::string &id)> offer;
 };
 
 /**
-    Chooses the engine for a prompt, and whether a prefill engine reads it first.
+    Selects the engine for a prompt, and decides between prefill on the decode engine and
+    disaggregated prefill on a prefill engine.
 
-    Shared parts of prompts cost far more to read than the rest, and an engine's memory holds only
-    some of them. Each part has a few homes that all instances work out alike by rendezvous hashing
-    over the present engines; no message is needed. Load
-    pulls a request away from home as soon as the wait there costs more than reading the part again.
+    Shared parts of prompts take far longer to prefill than the rest, and an engine's cache has room
+    for only some of them. Each part has a few homes: the engines that rank first by rendezvous
+    hashing over the listed engines. All instances compute the same homes without any message. A
+    request goes to another engine as soon as the wait at home costs more than a second prefill of
+    the part.
 
-    Load is what this instance has under way, plus the delay that its own requests met of late,
-    which shows what the other instances send. No engine is asked for reports.
+    The load of an engine is estimated from this instance's pending requests plus their recent
+    delay, which reflects the work of the other instances. Engines are not queried for reports.
 */
 class EnginePlacement
 {
 public:
     explicit EnginePlacement(PlacementWeights weights = {}) : weights_(weights) { }
 
-    /** Returns nothing when no engine may get the request. */
+    /** Returns the selected engines, or nothing if no engine may get the request. */
     std::optional<EngineChoice> choose(const std::vector<UpstreamPointer> &engines,
                                        const PlacementQuery &query);
 
-    /** Returns the prefill engines that suit a prompt best by what is known here, best first. */
+    /** Returns up to @p maxCount prefill engines in order of estimated cost, cheapest first. */
     std::vector<UpstreamPointer> likelyReaders(const std::vector<UpstreamPointer> &engines,
-                                               const PlacementQuery &query, std::size_t most);
-    /** An engine's book told how long a prompt waits there now. */
+                                               const PlacementQuery &query, std::size_t maxCount);
+    /** Sets the current wait of a prompt at an engine, as its prefill tracker reported it. */
     void told(const std::string &id, double waitMillis, Millis now)
     {
-        state(id).told(waitMillis, now);
+        trackerOf(id).setReportedWait(waitMillis, now);
     }
-    /** How fast prefill engines read. */
+    /** Returns the estimated prefill rate of prefill engines. */
     const ReadingRate &prefillRate() const { return prefillRate_; }
 
-    /** Returns the engine that should generate for a prompt that has been read already. */
+    /** Returns the decode engine for a prompt whose prefill has been completed. */
     UpstreamPointer chooseRunner(const std::vector<UpstreamPointer> &engines,
                                  const PlacementQuery &query);
-    /** Another engine generates than was chosen; updates the choice. */
+    /** Replaces the decode engine of a choice whose request has been sent. */
     void moved(EngineChoice &choice, const UpstreamPointer &engine, Millis now);
 
-    /** The request went out as chosen. */
+    /** Call when the request has been sent as chosen. */
     void dispatched(EngineChoice &choice, const PromptShape &prompt, Millis now);
-    /** The prompt has been read: by a prefill engine's answer, or by the first event. */
+    /** Call when prefill is complete: at the prefill engine's response, or at the first event. */
     void promptRead(EngineChoice &choice, Millis sentAt, Millis now);
-    /** A prompt that was read elsewhere went to the engine that generates. */
+    /** Call when a prompt has been sent to the decode engine after disaggregated prefill. */
     void handedOver(EngineChoice &choice, const PromptShape &prompt, Millis now);
-    /** The first event came. */
+    /** Call when the first event arrived. */
     void runBegan(EngineChoice &choice, Millis now);
-    /** The attempt is over. @c wasRead as promptRead() was called for it. */
-    void finished(EngineChoice &choice, bool wasRead, Millis now);
-    /** An engine refused a request, being full or away. */
-    void refused(const std::string &id, Millis now) { state(id).refused(now); }
-    /** An engine is gone, or began another life. */
+    /** Call when the attempt has ended. @p wasPrefilled: prefill was reported as complete. */
+    void finished(EngineChoice &choice, bool wasPrefilled, Millis now);
+    /** Call when an engine rejected a request because it is full or unavailable. */
+    void refused(const std::string &id, Millis now) { trackerOf(id).requestRejected(now); }
+    /** Call when an engine has been removed, or has a new incarnation. */
     void forget(const std::string &id) { engines_.erase(id); }
 
     const EngineMemory *memory(const std::string &id) const;
@@ -155,39 +158,41 @@
     struct Candidate
     {
         UpstreamPointer engine;
-        /** Tokens to read as the choice weighs them: parts at home count as held. */
-        double fresh = 0;
-        /** And as they are expected to be read. */
-        double toRead = 0;
-        double millis = 0;
+        /** Tokens to prefill for the comparison of costs: shared parts count as cached at home. */
+        double freshTokens = 0;
+        /** Tokens to prefill for the estimate of the response time. */
+        double prefillTokens = 0;
+        double cost = 0;
         double waitMillis = 0;
-        /** What it may fetch from another engine instead of reading it. */
+        /** Engine from which it can fetch a cached prefix instead of computing it; or null. */
         UpstreamPointer prefixFrom;
         double fetchMillis = 0;
     };
-    struct Ranked;
+    struct RankedEngine;
 
-    std::vector<Ranked> ranked(const std::vector<UpstreamPointer> &engines, EngineStage stage,
-                               const PlacementQuery &query, const PromptChain &chain) const;
+    std::vector<RankedEngine> rankByAffinity(const std::vector<UpstreamPointer> &engines,
+                                             EngineStage stage, const PlacementQuery &query,
+                                             const PromptChain &chain) const;
     ReadingRate &rateOf(const UpstreamEntry &entry);
-    EngineMemory &state(const std::string &id) { return engines_[id]; }
-    std::vector<Candidate> rate(const std::vector<UpstreamPointer> &engines, EngineStage stage,
-                                const PlacementQuery &query, const PromptChain &chain);
-    UpstreamPointer leastBusy(const std::vector<Candidate> &readers, const PlacementQuery &query);
-    double expectedFresh(const EngineMemory &memory, const PromptChain &chain,
-                         std::size_t homeRank) const;
-    void estimate(EngineChoice &choice, double waitMillis);
-    void offerFetching(std::vector<Candidate> &candidates, const PlacementQuery &query,
-                       const PromptChain &chain);
-    double detour(const UpstreamEntry &entry, const PlacementQuery &query) const;
+    EngineMemory &trackerOf(const std::string &id) { return engines_[id]; }
+    std::vector<Candidate> evaluate(const std::vector<UpstreamPointer> &engines, EngineStage stage,
+                                    const PlacementQuery &query, const PromptChain &chain);
+    UpstreamPointer leastLoadedDecodeEngine(const std::vector<Candidate> &candidates,
+                                            const PlacementQuery &query);
+    double estimateFreshTokens(const EngineMemory &memory, const PromptChain &chain,
+                               std::size_t homeRank) const;
+    void setEstimates(EngineChoice &choice, double waitMillis);
+    void considerPrefixFetch(std::vector<Candidate> &candidates, const PlacementQuery &query,
+                             const PromptChain &chain);
+    double crossDomainMillis(const UpstreamEntry &entry, const PlacementQuery &query) const;
 
     PlacementWeights weights_;
     std::unordered_map<std::string, EngineMemory> engines_;
-    /** Of engines that only read, and of those that also generate. */
+    /** Rates of prefill engines, and of all others. */
     ReadingRate prefillRate_;
     ReadingRate decodeRate_;
-    /** Never given twice: an engine that is forgotten and comes back must not mistake old ones. */
-    AnswerTicket nextTicket_ = 1;
+    /** Never reused: an engine that is removed and added again must not match old responses. */
+    PendingResponseId nextResponseId_ = 1;
 };
 
 } // namespace cuminrail
--- a/modules/dataplane/placement/EnginePlacement_test.cpp
+++ b/modules/dataplane/placement/EnginePlacement_test.cpp
@@ -41,24 +41,26 @@
 
 PlacementQuery query(const PromptShape &shape, Millis now = Millis(0))
 {
-    PlacementQuery made;
-    made.prompt = &shape;
-    made.bodyBytes = 1000;
-    made.ownDomain = "a";
-    made.now = now;
-    made.badShare = [](const std::string &) { return 0.0; };
-    made.isSetAside = [](const std::string &) { return false; };
-    return made;
+    PlacementQuery result;
+    result.prompt = &shape;
+    result.bodyBytes = 1000;
+    result.ownDomain = "a";
+    result.now = now;
+    result.badShare = [](const std::string &) { return 0.0; };
+    result.isSetAside = [](const std::string &) { return false; };
+    return result;
 }
 
-std::string readerOf(const EngineChoice &choice)
+std::string prefillEngineOf(const EngineChoice &choice)
 {
     return (choice.prefill ? choice.prefill : choice.engine)->entry.id;
 }
 
 } // namespace
 
-TEST_CASE("all instances send requests with the same shared part to the same reader, without talk")
+// Guards against a second prefill of the same part: instances that choose different engines for it
+// have it computed and cached once at each of them.
+TEST_CASE("all instances choose the same prefill engine for the same shared part, without messages")
 {
     const auto engines = fleet(6, 3);
     std::map<std::string, std::string> home;
@@ -68,7 +70,7 @@
             EnginePlacement placement;
             const auto choice = placement.choose(engines, query(shape));
             REQUIRE(choice);
-            const std::string id = readerOf(*choice);
+            const std::string id = prefillEngineOf(*choice);
             CHECK(home.emplace(shape.parts[0].id, id).first->second == id);
         }
     }
@@ -78,27 +80,30 @@
     CHECK(parts.size() >= 4);
 }
 
-TEST_CASE("only parts of an engine that went find a new home")
+// Guards against caches that lose their use when one engine leaves: with hashing modulo the number
+// of engines nearly all parts would get another home.
+TEST_CASE("when an engine leaves, only its parts get a new home")
 {
     auto engines = fleet(6, 3);
-    std::map<std::string, std::string> before;
+    std::map<std::string, std::string> previousHomes;
     EnginePlacement placement;
     for (int part = 0; part < 60; ++part) {
         const PromptShape shape = prompt("part-" + std::to_string(part), 13000, 3000);
-        before[shape.parts[0].id] = readerOf(*placement.choose(engines, query(shape)));
+        previousHomes[shape.parts[0].id] =
+            prefillEngineOf(*placement.choose(engines, query(shape)));
     }
     engines.erase(engines.begin());
     for (int part = 0; part < 60; ++part) {
         const PromptShape shape = prompt("part-" + std::to_string(part), 13000, 3000);
-        const std::string now = readerOf(*placement.choose(engines, query(shape)));
-        if (before[shape.parts[0].id] != "p0")
-            CHECK(now == before[shape.parts[0].id]);
+        const std::string now = prefillEngineOf(*placement.choose(engines, query(shape)));
+        if (previousHomes[shape.parts[0].id] != "p0")
+            CHECK(now == previousHomes[shape.parts[0].id]);
     }
 }
 
-// A hot part draws a burst to its home. Behind a queue of prompts the next one would miss its goal,
-// while other readers stand idle.
-TEST_CASE("a queue at home sends requests elsewhere, and its end brings them back")
+// Guards against late responses beside idle engines: a popular part directs a burst of prompts to
+// its home, and the next one would miss its latency target behind that queue.
+TEST_CASE("prompts avoid a home with a long queue, and return when the queue has ended")
 {
     const auto engines = fleet(4, 2);
     EnginePlacement placement;
@@ -106,32 +111,33 @@
     auto home = placement.choose(engines, query(first));
     REQUIRE(home);
     placement.dispatched(*home, first, Millis(0));
-    std::vector<EngineChoice> waiting{*home};
-    bool wentElsewhere = false;
-    for (int i = 1; i < 12 && !wentElsewhere; ++i) {
+    std::vector<EngineChoice> choices{*home};
+    bool usedOtherEngine = false;
+    for (int i = 1; i < 12 && !usedOtherEngine; ++i) {
         const PromptShape shape = prompt("hot", 13000, 9000, i);
         auto choice = placement.choose(engines, query(shape));
         REQUIRE(choice);
-        wentElsewhere = readerOf(*choice) != readerOf(*home);
+        usedOtherEngine = prefillEngineOf(*choice) != prefillEngineOf(*home);
         placement.dispatched(*choice, shape, Millis(0));
-        waiting.push_back(*choice);
+        choices.push_back(*choice);
     }
-    CHECK(wentElsewhere);
-    for (EngineChoice &choice : waiting)
+    CHECK(usedOtherEngine);
+    for (EngineChoice &choice : choices)
         placement.finished(choice, false, Millis(0));
     const PromptShape later = prompt("hot", 13000, 3000, 99);
-    CHECK(readerOf(*placement.choose(engines, query(later, Millis(20000)))) == readerOf(*home));
+    CHECK(prefillEngineOf(*placement.choose(engines, query(later, Millis(20000))))
+          == prefillEngineOf(*home));
 }
 
-// A prompt read on a generating engine stretches the pauses of all streams there, and callers see
-// them stop for a third of a second at every event. Small prompts do that too: a step reads a whole
-// chunk, and there are many of them.
-TEST_CASE("prompts are read apart unless next to nothing of them is new")
+// Guards against long gaps in streams: prefill on a decode engine delays all its streams, by a
+// third of a second at every event. Small prompts do so too, as each step processes a whole chunk
+// and there are many such prompts.
+TEST_CASE("prefill is disaggregated unless hardly any tokens need prefill")
 {
     struct Row
     {
         std::uint32_t ownTokens;
-        bool isHandedOver;
+        bool isDisaggregated;
     };
     for (const Row &row : {Row{5, false}, Row{300, true}, Row{1000, true}, Row{20000, true}}) {
         CAPTURE(row.ownTokens);
@@ -139,14 +145,15 @@
         const PromptShape shape = prompt("part", 100, row.ownTokens);
         const auto choice = placement.choose(fleet(4, 2), query(shape));
         REQUIRE(choice);
-        CHECK((choice->prefill != nullptr) == row.isHandedOver);
+        CHECK((choice->prefill != nullptr) == row.isDisaggregated);
         CHECK(choice->engine->entry.stage == EngineStage::Decode);
     }
 }
 
-// After a reclaim one reader is left with the prompts of a whole fleet. Behind that queue no prompt
-// would meet its goal, while generating engines could read it at once.
-TEST_CASE("generating engines read while the queue at the readers is far longer than there")
+// Guards against prompts that wait although decode engines are free: after a reclaim a single
+// prefill engine is left for a whole fleet, and no prompt behind its queue would meet its latency
+// target.
+TEST_CASE("decode engines execute prefill while the queue at prefill engines is far longer")
 {
     EnginePlacement placement;
     const auto engines = fleet(1, 2);
@@ -161,33 +168,37 @@
     CHECK((choice->prefill == nullptr));
 }
 
-TEST_CASE("without readers the generating engines read, and without those nobody can")
+// Guards against rejected prompts when a service has no prefill engine, and against a choice
+// without a decode engine.
+TEST_CASE("decode engines prefill if there are no prefill engines; without them there is no choice")
 {
     EnginePlacement placement;
     const PromptShape shape = prompt("part", 13000, 3000);
-    const auto alone = placement.choose(fleet(0, 2), query(shape));
-    REQUIRE(alone);
-    CHECK((alone->prefill == nullptr));
+    const auto decodeOnly = placement.choose(fleet(0, 2), query(shape));
+    REQUIRE(decodeOnly);
+    CHECK((decodeOnly->prefill == nullptr));
     CHECK_FALSE(placement.choose(fleet(3, 0), query(shape)));
     CHECK_FALSE(placement.choose({}, query(shape)));
 }
 
-TEST_CASE("set aside engines are used only when nobody else is left")
+// Guards against requests sent to a failing engine while another one is available, and against
+// requests rejected while an ejected engine could still be tried.
+TEST_CASE("ejected engines are used only when no other is left")
 {
     EnginePlacement placement;
     const PromptShape shape = prompt("part", 100, 300);
-    PlacementQuery asked = query(shape);
-    asked.isSetAside = [](const std::string &id) { return id == "d0"; };
-    CHECK(placement.choose(fleet(0, 2), asked)->engine->entry.id == "d1");
-    CHECK(placement.choose(fleet(0, 1), asked)->engine->entry.id == "d0");
+    PlacementQuery placementQuery = query(shape);
+    placementQuery.isSetAside = [](const std::string &id) { return id == "d0"; };
+    CHECK(placement.choose(fleet(0, 2), placementQuery)->engine->entry.id == "d1");
+    CHECK(placement.choose(fleet(0, 1), placementQuery)->engine->entry.id == "d0");
     const std::set<std::string> tried{"d0"};
-    asked.tried = &tried;
-    CHECK_FALSE(placement.choose(fleet(0, 1), asked));
+    placementQuery.tried = &tried;
+    CHECK_FALSE(placement.choose(fleet(0, 1), placementQuery));
 }
 
-// An engine that changes its stage refuses everything for seconds; instances that did not order the
-// change only see the refusals.
-TEST_CASE("an engine that refused is shunned for a moment")
+// Guards against requests sent again and again to an engine that changes its stage: it rejects
+// everything for seconds, and instances that did not order the change see only the rejections.
+TEST_CASE("an engine that rejected a request is avoided for a moment")
 {
     EnginePlacement placement;
     const PromptShape shape = prompt("part", 100, 300);
@@ -198,7 +209,9 @@
     CHECK(placement.choose(engines, query(shape, Millis(60000)))->engine->entry.id == first);
 }
 
-TEST_CASE("accounts are even once every request is over")
+// Guards against load that is never subtracted, which would keep work away from an idle engine for
+// good; requests whose decode engine is replaced are counted at two engines.
+TEST_CASE("no load remains once every request has ended")
 {
     EnginePlacement placement;
     const auto engines = fleet(3, 3);
@@ -214,43 +227,45 @@
             placement.moved(choice, engines.back(), Millis(0));
         placement.finished(choice, false, Millis(0));
     }
-    for (const auto &one : engines) {
-        const EngineMemory *memory = placement.memory(one->entry.id);
+    for (const auto &upstream : engines) {
+        const EngineMemory *memory = placement.memory(upstream->entry.id);
         REQUIRE(memory != nullptr);
         CHECK(memory->running() == 0);
         CHECK(memory->openTokens() == doctest::Approx(0.0));
     }
 }
 
-// Six instances send to one engine, and each sees only its own few requests there. While the engine
-// works through all of them it answers none, so no measured delay says anything yet; and each new
-// request of the same kind joins the queue. Callers wait seconds beside idle engines.
-TEST_CASE("an engine whose answers are overdue draws no more work, before any late answer came")
+// Guards against waits of seconds beside idle engines: six instances send to one engine, and each
+// sees only its own few requests there. While the engine processes all of them it sends no
+// response, so there is no delay to observe yet, and each new request of the same kind joins the
+// queue.
+TEST_CASE("an engine with overdue responses gets no more work, before any late response arrived")
 {
     struct Row
     {
-        Millis silentFor;
+        Millis elapsed;
         bool staysHome;
     };
     const auto engines = fleet(0, 3);
     for (const Row &row : {Row{Millis(60), true}, Row{Millis(1500), false}}) {
-        CAPTURE(row.silentFor.count());
+        CAPTURE(row.elapsed.count());
         EnginePlacement placement;
         const PromptShape first = prompt("hot", 3000, 300);
         auto home = placement.choose(engines, query(first));
         REQUIRE(home);
         placement.dispatched(*home, first, Millis(0));
         const PromptShape next = prompt("hot", 3000, 300, 1);
-        const auto choice = placement.choose(engines, query(next, row.silentFor));
+        const auto choice = placement.choose(engines, query(next, row.elapsed));
         REQUIRE(choice);
         const bool isHome = choice->engine == home->engine;
         CHECK(isHome == row.staysHome);
     }
 }
 
-// Prompts are read apart, and the engines that generate are too few. Those never read a prompt for
-// this instance, so the delay of readings says nothing of them; streams begin seconds late.
-TEST_CASE("an engine that is late to begin what was handed over gets less of it")
+// Guards against streams that begin seconds late: prefill is disaggregated and there are too few
+// decode engines. They execute no prefill for this instance, so prefill times show nothing of their
+// load.
+TEST_CASE("a decode engine that begins late after disaggregated prefill gets less work")
 {
     const auto engines = fleet(2, 2);
     EnginePlacement placement;
@@ -262,12 +277,12 @@
     placement.promptRead(*first, Millis(0), Millis(200));
     placement.handedOver(*first, shape, Millis(200));
     const PromptShape second = prompt("part", 100, 6000, 1);
-    SUBCASE("while nothing has come")
+    SUBCASE("while its first event is overdue")
     {
         const auto next = placement.choose(engines, query(second, Millis(900)));
         CHECK((next->engine != first->engine));
     }
-    SUBCASE("after it came late")
+    SUBCASE("after its first event arrived late")
     {
         placement.runBegan(*first, Millis(1200));
         placement.finished(*first, true, Millis(1210));
@@ -276,75 +291,77 @@
     }
 }
 
-// The engine that holds a large part is busy, and the same part is read again at a free one, which
-// takes five times as long as having it fetched, and keeps others waiting there.
-TEST_CASE("a part that one engine holds is fetched by another one rather than read again")
+// Guards against a second prefill of a large part: the engine that has it cached is busy, and
+// prefill at a free engine takes five times as long as fetching it, and delays other prompts there.
+TEST_CASE("a part that one engine has cached is fetched by another one instead of computed again")
 {
     struct Row
     {
         const char *what;
         double heldTokens;
-        double holderWaitMillis;
+        double waitMillis;
         bool isFetched;
     };
-    for (const Row &row :
-         {Row{"the holder is busy", 10000, 2000, true}, Row{"the holder is free", 10000, 0, false},
-          Row{"nobody has read it yet", 0, 2000, false},
-          Row{"too little to be worth a transfer", 1500, 2000, false}}) {
+    for (const Row &row : {Row{"the engine that has it is busy", 10000, 2000, true},
+                           Row{"the engine that has it is free", 10000, 0, false},
+                           Row{"no engine has it cached yet", 0, 2000, false},
+                           Row{"too few tokens to be worth a transfer", 1500, 2000, false}}) {
         CAPTURE(row.what);
         EnginePlacement placement;
         const auto engines = fleet(2, 1);
         const PromptShape shape = prompt("part", 10000, 1000);
-        PlacementQuery asked = query(shape);
-        asked.offer = [&](const std::string &id) -> std::optional<ReadingOffer> {
+        PlacementQuery placementQuery = query(shape);
+        placementQuery.offer = [&](const std::string &id) -> std::optional<ReadingOffer> {
             if (id == "p0")
-                return ReadingOffer{row.holderWaitMillis, 1000, row.heldTokens, true};
+                return ReadingOffer{row.waitMillis, 1000, row.heldTokens, true};
             return ReadingOffer{0, 11000, 0, true};
         };
-        const auto choice = placement.choose(engines, asked);
+        const auto choice = placement.choose(engines, placementQuery);
         REQUIRE(choice);
         CHECK((choice->prefixFrom != nullptr) == row.isFetched);
         if (!row.isFetched)
             continue;
         CHECK(choice->prefixFrom->entry.id == "p0");
-        CHECK(readerOf(*choice) == "p1");
+        CHECK(prefillEngineOf(*choice) == "p1");
         CHECK(choice->freshTokens == doctest::Approx(1000));
     }
 }
 
-// All engines are new, and hundreds of prompts that share parts arrive in the first seconds.
-// Trusted to hold what nobody has had them read, the homes of those parts are expected to answer in
-// a third of the time that they take; prompts pile up there, and each is late.
-TEST_CASE("a part that nobody has read yet is sent to its home and counted as to be read")
+// Guards against response times estimated as a third of the true ones: all engines are new, and
+// hundreds of prompts that share parts arrive in the first seconds. If homes are assumed to have
+// parts cached that no engine has prefilled yet, prompts queue there and each one is late.
+TEST_CASE("a part that is not cached yet is sent to its home, and its tokens count as prefill")
 {
     for (const bool isComplete : {false, true}) {
         CAPTURE(isComplete);
         EnginePlacement placement;
         const auto engines = fleet(6, 1);
         const PromptShape shape = prompt("part", 10000, 1000);
-        const auto blind = placement.choose(engines, query(shape));
-        REQUIRE(blind);
-        PlacementQuery asked = query(shape);
-        asked.offer = [&](const std::string &) -> std::optional<ReadingOffer> {
+        const auto withoutEstimate = placement.choose(engines, query(shape));
+        REQUIRE(withoutEstimate);
+        PlacementQuery placementQuery = query(shape);
+        placementQuery.offer = [&](const std::string &) -> std::optional<ReadingOffer> {
             return ReadingOffer{0, 11000, 0, false, isComplete};
         };
-        const auto choice = placement.choose(engines, asked);
+        const auto choice = placement.choose(engines, placementQuery);
         REQUIRE(choice);
-        CHECK(readerOf(*choice) == readerOf(*blind));
-        const double reading = 11000 / placement.prefillRate().tokensPerMilli();
+        CHECK(prefillEngineOf(*choice) == prefillEngineOf(*withoutEstimate));
+        const double prefillMillis = 11000 / placement.prefillRate().tokensPerMilli();
         CHECK((choice->freshTokens == doctest::Approx(11000)) == isComplete);
-        CHECK((choice->firstEventMillis >= reading) == isComplete);
+        CHECK((choice->firstEventMillis >= prefillMillis) == isComplete);
     }
 }
 
-TEST_CASE("fetching does not count as reading when engines' speed is learned")
+// Guards against a prefill rate that is too low because the time to fetch a prefix is taken for
+// prefill.
+TEST_CASE("fetching a prefix does not change the estimated prefill rate")
 {
     EnginePlacement placement;
     const auto engines = fleet(2, 1);
     const PromptShape shape = prompt("part", 10000, 3000);
-    const double before = placement.prefillRate().tokensPerMilli();
+    const double initialRate = placement.prefillRate().tokensPerMilli();
     EngineChoice choice{engines[2], engines[0], engines[1], 3000, 0, 0, 0, 0, 0};
     placement.dispatched(choice, shape, Millis(0));
     placement.promptRead(choice, Millis(0), Millis(900));
-    CHECK(placement.prefillRate().tokensPerMilli() == doctest::Approx(before));
+    CHECK(placement.prefillRate().tokensPerMilli() == doctest::Approx(initialRate));
 }
--- a/modules/dataplane/placement/LeastLoaded.cpp
+++ b/modules/dataplane/placement/LeastLoaded.cpp
@@ -7,32 +7,32 @@
 double LeastLoaded::cost(const UpstreamEntry &entry, const Query &query) const
 {
     const double slots = std::max<std::uint32_t>(1, entry.slots);
-    const double taken = open(entry.id) / slots;
-    const double away = entry.failureDomain == query.ownDomain ? 0.0 : domainPenalty;
-    return taken + away + badWeight * query.badShare(entry.id);
+    const double occupiedShare = open(entry.id) / slots;
+    const double domainCost = entry.failureDomain == query.ownDomain ? 0.0 : domainPenalty;
+    return occupiedShare + domainCost + badWeight * query.badShare(entry.id);
 }
 
 UpstreamPointer LeastLoaded::choose(const std::vector<UpstreamPointer> &upstreams,
                                     const Query &query) const
 {
     UpstreamPointer best;
-    UpstreamPointer bestAside;
-    double least = 0;
-    double leastAside = 0;
+    UpstreamPointer bestEjected;
+    double lowestCost = 0;
+    double lowestEjectedCost = 0;
     for (const UpstreamPointer &upstream : upstreams) {
         const std::string &id = upstream->entry.id;
         if (query.tried->count(id) > 0)
             continue;
-        const double own = cost(upstream->entry, query);
-        const bool isAside = query.isSetAside(id);
-        UpstreamPointer &chosen = isAside ? bestAside : best;
-        double &lowest = isAside ? leastAside : least;
-        if (chosen == nullptr || own < lowest) {
-            chosen = upstream;
-            lowest = own;
+        const double upstreamCost = cost(upstream->entry, query);
+        const bool isEjected = query.isSetAside(id);
+        UpstreamPointer &bestOfGroup = isEjected ? bestEjected : best;
+        double &lowestOfGroup = isEjected ? lowestEjectedCost : lowestCost;
+        if (bestOfGroup == nullptr || upstreamCost < lowestOfGroup) {
+            bestOfGroup = upstream;
+            lowestOfGroup = upstreamCost;
         }
     }
-    return best != nullptr ? best : bestAside;
+    return best != nullptr ? best : bestEjected;
 }
 
 void LeastLoaded::finished(const std::string &id)
--- a/modules/dataplane/placement/LeastLoaded.h
+++ b/modules/dataplane/placement/LeastLoaded.h
@@ -10,18 +10,18 @@
 namespace cuminrail {
 
 /**
-    Chooses the upstream of a plain service: the one with the least of this instance's own requests
-    for its size, the own failure domain first among equals.
+    Selects the upstream for a request without a prompt: the one with the fewest open requests of
+    this instance relative to its slots, in the own failure domain if equal.
 
-    Reports of load would be a second old and send every instance to the same upstream at once; the
-    own requests under way are always current.
+    Load reports would be a second old and direct every instance to the same upstream at once; the
+    number of own open requests is always current.
 */
 class LeastLoaded
 {
 public:
-    /** Another failure domain counts as this share of an upstream's slots taken. */
+    /** Being in another failure domain counts as much as this share of occupied slots. */
     static constexpr double domainPenalty = 0.34;
-    /** The share of bad outcomes of late counts as this many times that share of slots taken. */
+    /** The share of recent bad outcomes counts as this many times that share of occupied slots. */
     static constexpr double badWeight = 3.0;
 
     struct Query
@@ -32,7 +32,7 @@
         std::function<bool(const std::string &id)> isSetAside;
     };
 
-    /** Returns null when no upstream may get the request. */
+    /** Returns the selected upstream, or null if none may get the request. */
     UpstreamPointer choose(const std::vector<UpstreamPointer> &upstreams, const Query &query) const;
 
     void started(const std::string &id) { ++open_[id]; }
--- a/modules/dataplane/placement/LeastLoaded_test.cpp
+++ b/modules/dataplane/placement/LeastLoaded_test.cpp
@@ -19,7 +19,9 @@
 
 } // namespace
 
-TEST_CASE("own domain first, others as load grows, each by its size")
+// Guards against an overloaded failure domain beside an idle one, and against traffic between
+// domains while the own one has room.
+TEST_CASE("the own domain is preferred, others are used as load grows, each by its slots")
 {
     LeastLoaded chooser;
     const std::set<std::string> none;
@@ -44,8 +46,9 @@
     }
 }
 
-// An upstream fails a third of its requests while its health check is good.
-TEST_CASE("bad outcomes count as load, and a set aside upstream comes last")
+// Guards against requests sent to an upstream that passes its health check while it fails a third
+// of its requests.
+TEST_CASE("bad outcomes count as load, and an ejected upstream is used last")
 {
     LeastLoaded chooser;
     const std::set<std::string> none;
--- a/modules/dataplane/placement/ReadingOffer.h
+++ b/modules/dataplane/placement/ReadingOffer.h
@@ -2,21 +2,20 @@
 
 namespace cuminrail {
 
-/** What awaits a prompt at an engine. */
+/** Estimate of a prompt's prefill at an engine, from the engine's prefill tracker. */
 struct ReadingOffer
 {
-    /** Until the engine has read what is before it. */
+    /** Time until the engine has completed the prefill of the prompts queued before. */
     double waitMillis = 0;
-    /** Prompt tokens that the engine does not hold, as far as is known. */
+    /** Prompt tokens that the engine does not have cached, as far as is known. */
     double freshTokens = 0;
-    /** Tokens from the prompt's start on that the engine has read, so that others can fetch them.
-     */
+    /** Length of the prompt's prefix that the engine has cached and other engines can fetch. */
     double heldTokens = 0;
-    /** False while the book is too young to have seen all that the engine holds. */
+    /** False while the tracker is too new to know everything that the engine has cached. */
     bool knowsParts = false;
     /**
-        The engine had read nothing when the book began, so it holds nothing but what is in there,
-        however young the book is.
+        The engine's cache was empty when the tracker was created, so it contains only what the
+        tracker lists, however new the tracker is.
     */
     bool isComplete = false;
 };
--- a/modules/dataplane/placement/RememberedParts.cpp
+++ b/modules/dataplane/placement/RememberedParts.cpp
@@ -44,10 +44,10 @@
         }
         recent_.push_front(link);
         byKey_[link.key] = recent_.begin();
-        held_ += link.tokens;
+        totalTokens_ += link.tokens;
     }
-    while (held_ > bound_ && !recent_.empty()) {
-        held_ -= recent_.back().tokens;
+    while (totalTokens_ > capacity_ && !recent_.empty()) {
+        totalTokens_ -= recent_.back().tokens;
         byKey_.erase(recent_.back().key);
         recent_.pop_back();
     }
--- a/modules/dataplane/placement/RememberedParts.h
+++ b/modules/dataplane/placement/RememberedParts.h
@@ -9,10 +9,10 @@
 
 namespace cuminrail {
 
-/** One part of a prompt together with all that comes before it. */
+/** One part of a prompt with everything that precedes it. */
 struct ChainLink
 {
-    /** Covers the model and every part up to this one: only then can a cache be used again. */
+    /** Hash of the model and all parts up to this one: a cache can be reused only if all match. */
     std::uint64_t key = 0;
     std::uint32_t tokens = 0;
 };
@@ -22,35 +22,35 @@
 {
     std::vector<ChainLink> links;
     std::uint32_t tokens = 0;
-    /** Names what requests of the same kind have in common: all links but the last. */
+    /** Key of the prefix that requests of the same kind share: all links but the last. */
     std::uint64_t sharedKey = 0;
 
     static PromptChain of(const PromptShape &prompt);
 };
 
 /**
-    The parts of prompts that were sent to one engine, as far as its memory may still hold them.
+    The prompt parts that were sent to one engine and are probably still in its cache.
 
-    An engine drops the parts that were not used for longest. So does this, at a bound below the
-    engine's memory, since running requests need some of it.
+    Engines evict the least recently used parts. So does this class, at a capacity below that of the
+    engine, since running requests need some of its memory.
 */
 class RememberedParts
 {
 public:
-    /** In tokens: what an engine of the present kinds holds, less running work. */
-    static constexpr std::uint64_t usualBound = 280000;
+    /** In tokens: the cache of present kinds of engines, less the memory for running requests. */
+    static constexpr std::uint64_t defaultCapacity = 280000;
 
-    explicit RememberedParts(std::uint64_t bound = usualBound) : bound_(bound) { }
+    explicit RememberedParts(std::uint64_t capacity = defaultCapacity) : capacity_(capacity) { }
 
-    /** Returns how many of the prompt's tokens the engine probably holds. */
+    /** Returns how many of the prompt's tokens the engine probably has cached. */
     std::uint32_t cachedTokens(const PromptChain &chain) const;
     void remember(const PromptChain &chain);
 
 private:
-    std::uint64_t bound_;
+    std::uint64_t capacity_;
     std::list<ChainLink> recent_;
     std::unordered_map<std::uint64_t, std::list<ChainLink>::iterator> byKey_;
-    std::uint64_t held_ = 0;
+    std::uint64_t totalTokens_ = 0;
 };
 
 } // namespace cuminrail
