--- a/modules/dataplane/roles/StagePlan.h
+++ b/modules/dataplane/roles/StagePlan.h
@@ -8,13 +8,13 @@
 
 namespace cuminrail {
 
-/** An engine as the plan sees it. */
+/** The state of an engine as far as StagePlan needs it. */
 struct StagedEngine
 {
     std::string id;
     std::string failureDomain;
     EngineStage stage = EngineStage::Decode;
-    /** An order to it is under way or its result unknown. */
+    /** A change was ordered and has not completed, or its result is unknown. */
     bool isChanging = false;
 };
 
@@ -27,39 +27,41 @@
 struct StagePlanSettings
 {
     /**
-        The part of a failure domain's engines that generate; the others read prompts.
+        Share of a failure domain's engines that execute decode; the others execute prefill.
 
-        A prompt read on a generating engine goes in at half speed and stretches the pauses of all
-        streams there; generating alone leaves an engine's reading power unused. With the prompts
-        of the present workloads (some 70 tokens in for one out) a third is enough to generate.
+        On a decode engine prefill runs at half the rate and lengthens the gaps of all its streams;
+        an engine that only executes decode leaves its capacity for prefill unused. With the present
+        workloads (some 70 input tokens per output token) a third of the engines suffices for
+        decode.
     */
     double decodeShare = 0.34;
     /**
-        How long a wrong division lasts before it is corrected, while nobody asks for anything. New
-        engines are listed within a quarter of a second of each other. Every moment more takes the
-        change, with engines away, further into the first requests.
+        How long the shares must deviate before they are corrected while there are no requests. New
+        engines are listed within a quarter of a second of each other. With a longer delay more of
+        the change, during which engines are unavailable, coincides with the first requests.
     */
-    Millis borne = Millis(500);
-    /** How long an engine keeps its stage: several times what a change costs. */
+    Millis minDeviationDuration = Millis(500);
+    /** Minimum time in a stage: several times the duration of a change. */
     Millis dwell = Millis(12000);
-    /** The part of all engines that may be away for a change at the same time. */
+    /** Share of all engines that may be unavailable for a change at the same time. */
     double concurrentShare = 0.34;
     /**
-        Under load only a stage with less than this part of its wanted engines is helped. A change
-        takes an engine, and the parts that it holds, away just when both are short.
+        Under load engines are changed only to a stage that has less than this share of its target
+        number. A change makes an engine and its cached parts unavailable just when both are scarce.
     */
     double grossShortage = 0.5;
 };
 
 /**
-    Which engines should change between reading prompts and generating.
-
-    The mix of work swings within seconds, and a change takes an engine away for as long. So the
-    plan does not follow the mix: it holds a division that suits the long run. Where each stage has
-    an engine for every instance, prompts of two instances seldom meet and a change earns nothing;
-    then all engines are left as they are. While nobody asks for
-    anything, each failure domain is brought to it once a deviation has lasted; under load only a
-    gross shortage of the whole fleet is mended. Never the last engine of a stage.
+    Decides which engines change between prefill and decode.
+
+    The ratio of prefill to decode work varies within seconds, and a change makes an engine
+    unavailable for as long. So the plan does not follow that ratio but keeps fixed shares that suit
+    the long-term average. If each stage has an engine for every instance, prompts of two instances
+    seldom compete for an engine and a change has no benefit; then all engines keep their stages.
+    While there are no requests, each failure domain is brought to the target shares once a
+    deviation has persisted; under load only a severe shortage in the whole fleet is corrected. The
+    last engine of a stage is never changed.
 */
 class StagePlan
 {
@@ -69,15 +71,15 @@
     /** Returns the changes to order now, for the engines of one service. */
     std::vector<StageChange> decide(const std::vector<StagedEngine> &engines, bool isUnderLoad,
                                     Millis now);
-    /** How many instances send prompts to these engines; many until this is called. */
+    /** Sets the number of instances that send prompts to these engines; unlimited by default. */
     void setInstances(std::size_t count) { instances_ = count; }
 
-    /** Returns how many of a failure domain's engines should generate. */
-    std::size_t wantedDecode(std::size_t engines) const;
+    /** Returns the target number of decode engines among @p engines engines of a failure domain. */
+    std::size_t targetDecodeCount(std::size_t engines) const;
 
 private:
-    /** The engines of one failure domain, or all. */
-    struct Division
+    /** The engines of one failure domain, or of all of them, by stage. */
+    struct StageGroups
     {
         std::vector<const StagedEngine *> prefill;
         std::vector<const StagedEngine *> decode;
@@ -86,21 +88,22 @@
         std::size_t size() const { return prefill.size() + decode.size() + changing; }
     };
 
-    bool hasPlenty(const Division &all) const;
-    static void add(Division &division, const StagedEngine &engine);
-    std::vector<StageChange> decideCalm(const std::map<std::string, Division> &domains,
-                                        const Division &all, Millis now);
-    std::vector<StageChange> decideUnderLoad(const Division &all, Millis now);
-    std::size_t mostChanging(std::size_t engines) const;
-    bool hasLasted(const std::string &domain, int deviation, Millis now);
-    const StagedEngine *pick(const std::vector<const StagedEngine *> &engines, Millis now) const;
+    bool hasEngineForEveryInstance(const StageGroups &all) const;
+    static void add(StageGroups &groups, const StagedEngine &engine);
+    std::vector<StageChange> decideIdle(const std::map<std::string, StageGroups> &domains,
+                                        const StageGroups &all, Millis now);
+    std::vector<StageChange> decideUnderLoad(const StageGroups &all, Millis now);
+    std::size_t maxChanging(std::size_t engines) const;
+    bool hasPersisted(const std::string &domain, int deviation, Millis now);
+    const StagedEngine *findChangeable(const std::vector<const StagedEngine *> &engines,
+                                       Millis now) const;
 
     StagePlanSettings settings_;
     std::size_t instances_ = std::numeric_limits<std::size_t>::max();
     struct Deviation
     {
         int sign = 0;
-        Millis since;
+        Millis startedAt;
     };
     std::map<std::string, Deviation> deviations_;
     std::map<std::string, Millis> changedAt_;
--- a/modules/dataplane/roles/StagePlan_test.cpp
+++ b/modules/dataplane/roles/StagePlan_test.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Engines of one domain: 'p' reads prompts, 'd' generates, 'c' is changing. */
+/** Returns engines of one domain: 'p' for prefill, 'd' for decode, 'c' for a change in progress. */
 std::vector<StagedEngine> domain(const std::string &name, const std::string &stages)
 {
     std::vector<StagedEngine> engines;
@@ -20,24 +20,26 @@
     return engines;
 }
 
-/** What is ordered once a deviation has lasted. */
-std::vector<StageChange> settled(const std::vector<StagedEngine> &engines)
+/** Returns the changes that are decided once a deviation has persisted. */
+std::vector<StageChange> changesAfterDelay(const std::vector<StagedEngine> &engines)
 {
     StagePlan plan;
     CHECK(plan.decide(engines, false, Millis(0)).empty());
     return plan.decide(engines, false, Millis(10000));
 }
 
-std::vector<StagedEngine> both(std::vector<StagedEngine> left,
-                               const std::vector<StagedEngine> &right)
+std::vector<StagedEngine> concatenate(std::vector<StagedEngine> first,
+                                      const std::vector<StagedEngine> &second)
 {
-    left.insert(left.end(), right.begin(), right.end());
-    return left;
+    first.insert(first.end(), second.begin(), second.end());
+    return first;
 }
 
 } // namespace
 
-TEST_CASE("a domain is divided by the plan's share")
+// Guards against domains without an engine of one stage because the share was rounded down to none.
+TEST_CASE(
+    "the number of decode engines follows the share, with both stages present from two engines on")
 {
     struct Row
     {
@@ -46,25 +48,27 @@
     };
     const StagePlan plan;
     for (const Row &row : {Row{0, 0}, Row{1, 1}, Row{2, 1}, Row{3, 1}, Row{6, 2}, Row{47, 16}})
-        CHECK(plan.wantedDecode(row.engines) == row.decode);
+        CHECK(plan.targetDecodeCount(row.engines) == row.decode);
 }
 
-// Upstreams are listed one after the other. The division of the first few says nothing of the rest;
-// corrected at once, engines would be ordered to and fro just before the first requests come.
-TEST_CASE("only lasting deviations lead to orders")
+// Guards against engines that change back and forth just before the first requests arrive:
+// upstreams are listed one after the other, and the shares among the first few do not represent the
+// rest.
+TEST_CASE("only a deviation that persists leads to changes")
 {
     StagePlan plan;
-    const auto few = both(domain("a", "ddd"), domain("b", "pdd"));
-    CHECK(plan.decide(few, false, Millis(0)).empty());
-    CHECK(plan.decide(both(domain("a", "ppd"), domain("b", "ppd")), false, Millis(300)).empty());
-    CHECK(plan.decide(few, false, Millis(600)).empty());
-    CHECK(plan.decide(few, false, Millis(1050)).empty());
-    CHECK_FALSE(plan.decide(few, false, Millis(1150)).empty());
+    const auto firstListed = concatenate(domain("a", "ddd"), domain("b", "pdd"));
+    CHECK(plan.decide(firstListed, false, Millis(0)).empty());
+    CHECK(plan.decide(concatenate(domain("a", "ppd"), domain("b", "ppd")), false, Millis(300))
+              .empty());
+    CHECK(plan.decide(firstListed, false, Millis(600)).empty());
+    CHECK(plan.decide(firstListed, false, Millis(1050)).empty());
+    CHECK_FALSE(plan.decide(firstListed, false, Millis(1150)).empty());
 }
 
-// Every change takes an engine away for seconds. If all changed at once, or the last engine of a
-// stage did, callers would find nobody who could read or generate.
-TEST_CASE("never the last of a stage, and only a part of all at the same time")
+// Guards against a service without prefill or decode engines: every change makes an engine
+// unavailable for seconds, so all engines, or the last one of a stage, must not change at once.
+TEST_CASE("the last engine of a stage never changes, and only a share of all changes at once")
 {
     struct Row
     {
@@ -74,27 +78,27 @@
     for (const Row &row : {Row{"ppd", 0}, Row{"d", 0}, Row{"dd", 1}, Row{"pp", 1}, Row{"dddddd", 2},
                            Row{"ddddcc", 0}, Row{"dddddc", 1}}) {
         CAPTURE(row.stages);
-        CHECK(settled(domain("a", row.stages)).size() == row.changes);
+        CHECK(changesAfterDelay(domain("a", row.stages)).size() == row.changes);
     }
 }
 
-TEST_CASE("an engine keeps its stage for a while")
+// Guards against an engine that is ordered to change again and again, and is never available.
+TEST_CASE("an engine keeps its stage for the minimum time")
 {
     StagePlan plan;
     plan.decide(domain("a", "ddd"), false, Millis(0));
     REQUIRE(plan.decide(domain("a", "ddd"), false, Millis(2100)).size() == 1);
-    // It comes back as it was; the same engine is not ordered again at once.
+    // The engine is listed in another stage again; the same engine is not changed again at once.
     plan.decide(domain("a", "ppp"), false, Millis(3000));
-    const auto back = plan.decide(domain("a", "ppp"), false, Millis(6000));
-    REQUIRE(back.size() == 1);
-    CHECK(back.front().id != "a0");
+    const auto nextChanges = plan.decide(domain("a", "ppp"), false, Millis(6000));
+    REQUIRE(nextChanges.size() == 1);
+    CHECK(nextChanges.front().id != "a0");
 }
 
-// A whole failure domain's engines are reclaimed in a burst. Bringing the rest back to the usual
-// division would take several of them away for seconds more, with the parts that they hold; callers
-// then wait for readers that are busy changing.
-TEST_CASE(
-    "under load a lopsided fleet is left as it is, unless hardly any engine of a stage is left")
+// Guards against waits for engines that are changing their stage: all engines of a failure domain
+// are reclaimed at once, and restoring the target shares among the rest would make several of them,
+// with their cached parts, unavailable for seconds more.
+TEST_CASE("under load stages change only when hardly any engine of one stage is left")
 {
     struct Row
     {
@@ -104,7 +108,7 @@
     };
     const auto prefill = EngineStage::Prefill;
     const auto decode = EngineStage::Decode;
-    // Of 12 engines four should generate and eight read.
+    // The target for 12 engines is four for decode and eight for prefill.
     for (const Row &row : {Row{"pppppppppddd", 0, decode}, Row{"ppppppppppdd", 0, decode},
                            Row{"pppppppppppd", 1, decode}, Row{"ppppdddddddd", 0, prefill},
                            Row{"pppddddddddd", 1, prefill}, Row{"pddddddddddd", 3, prefill},
@@ -118,17 +122,17 @@
     }
 }
 
-// Guards against hundreds of orders that are paid for and earn nothing: few prompts, and far more
-// engines of each stage than there are instances to send them.
-TEST_CASE("engines are left as they are where each stage has one for every instance")
+// Guards against hundreds of orders that cost money and have no benefit: there are few prompts, and
+// far more engines of each stage than instances that send them.
+TEST_CASE("no engine changes if each stage has an engine for every instance")
 {
     struct Row
     {
         std::size_t instances;
         bool changes;
     };
-    const auto engines = both(domain("a", std::string(20, 'd') + std::string(8, 'p')),
-                              domain("b", std::string(20, 'd') + std::string(8, 'p')));
+    const auto engines = concatenate(domain("a", std::string(20, 'd') + std::string(8, 'p')),
+                                     domain("b", std::string(20, 'd') + std::string(8, 'p')));
     for (const Row &row : {Row{4, false}, Row{16, false}, Row{17, true}, Row{90, true}}) {
         CAPTURE(row.instances);
         StagePlan plan;
