--- a/modules/core/ids/Ids.h
+++ b/modules/core/ids/Ids.h
@@ -43,7 +43,7 @@
 using Incarnation = std::uint64_t;
 
 /** Names one life of one upstream: a hash of its name and its start. */
-using UpstreamLife = std::uint64_t;
+using UpstreamIncarnation = std::uint64_t;
 
 } // namespace cuminrail
 
--- a/modules/emulation/run/LoadRun.cpp
+++ b/modules/emulation/run/LoadRun.cpp
@@ -175,7 +175,7 @@
     const PlacementQuery query = queryFor(index);
     for (const auto &reader : own->likelyReaders(fleet_.known(), query, asked)) {
         const std::string &id = reader->entry.id;
-        flight.offers[id] = books_[id].offer(chain, now());
+        flight.offers[id] = books_[id].estimate(chain, now());
         own->told(id, flight.offers[id].waitMillis, now());
     }
     flight.choice = own->choose(fleet_.known(), query);
@@ -192,16 +192,16 @@
     flight.book = flight.choice->prefill->entry.id;
     flight.ticket.number = flight.job;
     const ReadingRate &rate = own->prefillRate();
-    books_[flight.book].enter(flight.ticket, PromptChain::of(requests_[index].prompt),
-                              flight.choice->freshTokens,
-                              {rate.tokensPerMilli(), rate.fixedMillis()}, now());
+    books_[flight.book].add(flight.ticket, PromptChain::of(requests_[index].prompt),
+                            flight.choice->freshTokens, {rate.tokensPerMilli(), rate.fixedMillis()},
+                            now());
 }
 
 void LoadRun::takeBack(std::size_t index)
 {
     Flight &flight = flights_[index];
     if (!flight.book.empty())
-        books_[flight.book].takeBack(flight.ticket, now());
+        books_[flight.book].cancel(flight.ticket, now());
     flight.book.clear();
 }
 
@@ -350,7 +350,7 @@
     Instance &instance = instanceOf(index);
     instance.placement->promptRead(*flight.choice, flight.sentAt, now());
     if (!flight.book.empty())
-        books_[flight.book].read(flight.ticket, now());
+        books_[flight.book].complete(flight.ticket, now());
     flight.book.clear();
     instance.health.record(flight.choice->prefill->entry.id, AttemptSign::Good, now());
     flight.isPromptRead = true;
--- a/modules/emulation/run/LoadRun.h
+++ b/modules/emulation/run/LoadRun.h
@@ -6,7 +6,7 @@
 #include "dataplane/waiting/HeldPrompts.h"
 #include "emulation/run/EngineFleet.h"
 #include "emulation/run/Placement.h"
-#include "readingbooks/book/ReadingBook.h"
+#include "readingbooks/tracker/PrefillTracker.h"
 
 #include <map>
 #include <set>
@@ -79,7 +79,7 @@
         Millis heldAt;
         /** In which engine's book the reading is entered, and as what; empty for none. */
         std::string book;
-        ReadingTicket ticket;
+        PrefillId ticket;
         std::map<std::string, ReadingOffer> offers;
     };
 
@@ -128,7 +128,7 @@
     int repeats_ = 0;
     PromptDeferral deferral_;
     /** One for each engine. Asked without delay: two instances are a millisecond apart. */
-    std::map<std::string, ReadingBook> books_;
+    std::map<std::string, PrefillTracker> books_;
     DecisionSettings decisions_;
     std::function<double()> stopwatch_;
     std::vector<double> decisionMicros_;
--- a/modules/feeds/follower/FeedGroup.cpp
+++ b/modules/feeds/follower/FeedGroup.cpp
@@ -17,7 +17,7 @@
     : clock_(std::move(clock)), transport_(std::move(transport)), feeds_{&configuration, &upstreams}
 { }
 
-void FeedGroup::setAlone()
+void FeedGroup::setStandalone()
 {
     watchers_.clear();
     others_.clear();
@@ -144,7 +144,7 @@
     }
 }
 
-bool FeedGroup::received(const PeerAddress &from, const std::string &frame)
+bool FeedGroup::handleFrame(const PeerAddress &from, const std::string &frame)
 {
     if (const auto delivery = decodeFeedDelivery(frame)) {
         handleDelivery(*delivery);
--- a/modules/feeds/follower/FeedGroup.h
+++ b/modules/feeds/follower/FeedGroup.h
@@ -35,7 +35,7 @@
     std::function<bool(const PeerAddress &)> isLinked;
 
     /** Every instance watches the store itself. */
-    void setAlone();
+    void setStandalone();
     /**
         @param inOrder the domain's instances in the order of succession, this one with an empty
             address
@@ -56,7 +56,7 @@
     */
     void passOn(const FeedUpdate &update) const;
     /** Handles a frame from another instance. Returns false if it belongs to another protocol. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
 
 private:
     bool shouldSendHeartbeat() const;
--- a/modules/feeds/testing/FeedCluster.h
+++ b/modules/feeds/testing/FeedCluster.h
@@ -83,7 +83,7 @@
         if (isShared_)
             instance.group->setMembers(domainOf(index), watchers);
         else
-            instance.group->setAlone();
+            instance.group->setStandalone();
         instance.configuration->start();
         instance.upstreams->start();
     }
@@ -197,7 +197,7 @@
         const FakeProcessPtr receiver = instances[to].process;
         scheduler.after(transitTime(from, frame.size()), [this, from, to, frame, receiver] {
             if (receiver == instances[to].process && isRunning(to))
-                instances[to].group->received(std::to_string(from), frame);
+                instances[to].group->handleFrame(std::to_string(from), frame);
         });
     }
 
--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -112,17 +112,17 @@
                                                       environment_.clock, environment_.random);
     context_.limits->setLinkCheck(feeds_.isLinked);
     if (!settings_.links.isSet()) {
-        context_.quotas->setAlone();
-        context_.limits->setAlone();
+        context_.quotas->setStandalone();
+        context_.limits->setStandalone();
     }
     context_.quarantine = std::make_unique<QuarantineExchange>(
         QuarantineExchange::Environment{fabric_.transport(), environment_.store, environment_.clock,
                                         environment_.random, environment_.events});
     context_.quarantine->setLinkCheck(feeds_.isLinked);
     if (settings_.links.isSet()) {
-        context_.prefillExchange = std::make_unique<BookExchange>(
+        context_.prefillExchange = std::make_unique<PrefillExchange>(
             settings_.links.toString(), fabric_.transport(), environment_.clock);
-        context_.prefillExchange->hadReadNothing = [this](EngineKey engine, Millis at) {
+        context_.prefillExchange->wasUnusedAt = [this](EngineKey engine, Millis at) {
             return wasUnusedAt(engine, at);
         };
         queryTick_.setAfter(queryTickInterval);
@@ -152,7 +152,7 @@
         return false;
     startedAt_ = environment_.clock.now();
     if (!settings_.links.isSet())
-        feeds_.setAlone();
+        feeds_.setStandalone();
     sync_.start();
     armTick();
     return true;
@@ -215,9 +215,9 @@
     gauges.logLinesDropped = environment_.logLinesDropped ? environment_.logLinesDropped() : 0;
     gauges.quotas = context_.quotas->stats();
     gauges.quarantine = context_.quarantine->stats();
-    gauges.suspects = context_.quarantine->book().raisedCount();
+    gauges.suspects = context_.quarantine->table().suspectCount();
     gauges.limits = context_.limits->stats();
-    gauges.limitedUpstreams = context_.limits->table().limited();
+    gauges.limitedUpstreams = context_.limits->table().limitedCount();
     gauges.counters = context_.counters;
     return gauges;
 }
@@ -307,9 +307,9 @@
     // Pending queries hold requests, which refer to members that are destroyed before the
     // exchanges.
     if (context_.prefillExchange)
-        context_.prefillExchange->dropQuestions();
-    context_.quotas->dropQuestions();
-    context_.limits->dropQuestions();
+        context_.prefillExchange->dropPendingQueries();
+    context_.quotas->dropPendingQueries();
+    context_.limits->dropPendingQueries();
     callers_.closeAll();
     readiness_.closeAll();
     admin_.closeAll();
--- a/modules/gateway/GatewayPeers.cpp
+++ b/modules/gateway/GatewayPeers.cpp
@@ -24,7 +24,7 @@
     if (peersRevision_ == registry_.revision())
         return;
     peersRevision_ = registry_.revision();
-    std::vector<KeeperCandidate> peers;
+    std::vector<OwnerCandidate> peers;
     for (const RegisteredInstance &instance : registry_.instances()) {
         const bool isSelf = instance.instance.text() == settings_.name;
         if (isSelf || !instance.links.empty())
@@ -36,7 +36,7 @@
     }
     context_.quarantine->setPeers(peers);
     context_.prefillExchange->setPeers(std::move(peers));
-    fabric_.maintainLinks(context_.prefillExchange->keepers());
+    fabric_.maintainLinks(context_.prefillExchange->ownerAddresses());
     updateGroup();
 }
 
@@ -52,8 +52,8 @@
     });
     const double reach = static_cast<double>(linked)
         / static_cast<double>(std::max<std::size_t>(1, instances.size()));
-    context_.quotas->setReach(reach);
-    context_.limits->setReach(reach);
+    context_.quotas->setReachableShare(reach);
+    context_.limits->setReachableShare(reach);
 }
 
 bool Gateway::wasUnusedAt(EngineKey engine, Millis at) const
@@ -77,16 +77,17 @@
     if (group_.isShared)
         feeds_.setMembers(group_.watchOrder, watchers);
     else if (registry_.isSettled())
-        feeds_.setAlone();
+        feeds_.setStandalone();
 }
 
 void Gateway::onPeerFrame(const PeerAddress &from, const std::string &frame)
 {
-    const bool isHandled = feeds_.received(from, frame) || usage_.handleFrame(from, frame)
-        || context_.quotas->received(from, frame) || context_.quarantine->received(from, frame)
-        || context_.limits->received(from, frame);
+    const bool isHandled = feeds_.handleFrame(from, frame) || usage_.handleFrame(from, frame)
+        || context_.quotas->handleFrame(from, frame)
+        || context_.quarantine->handleFrame(from, frame)
+        || context_.limits->handleFrame(from, frame);
     if (!isHandled)
-        context_.prefillExchange->received(from, frame);
+        context_.prefillExchange->handleFrame(from, frame);
 }
 
 std::vector<PeerAddress> Gateway::ledgerCollectors()
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -175,7 +175,7 @@
         context_.health.forget(id);
         context_.engines.forget(id);
         if (context_.prefillExchange)
-            context_.prefillExchange->forget(engineKey(*known));
+            context_.prefillExchange->removeEngine(engineKey(*known));
     }
     context_.directory.update(*entry, context_.now());
     context_.events(Event{&events::upstreamListed,
--- a/modules/gateway/peers/LedgerMessage_test.cpp
+++ b/modules/gateway/peers/LedgerMessage_test.cpp
@@ -2,7 +2,7 @@
 
 #include "gateway/peers/LedgerMessage.h"
 #include "membership/messages/CborArray.h"
-#include "readingbooks/messages/BookMessages.h"
+#include "readingbooks/messages/PrefillMessages.h"
 
 using namespace cuminrail;
 
@@ -18,8 +18,8 @@
     CHECK(back->version == 9);
     CHECK(back->ledger == message.ledger);
     CHECK_FALSE(decodeLedgerReceipt(frame));
-    CHECK_FALSE(decodeBookMessage(frame));
-    CHECK_FALSE(decodeLedgerMessage(encodeBookMessage(BookEnd{8, 99, true})));
+    CHECK_FALSE(decodePrefillMessage(frame));
+    CHECK_FALSE(decodeLedgerMessage(encodePrefillMessage(PrefillEnd{8, 99, true})));
 }
 
 // A truncated receipt taken as valid would mark a ledger as stored that is not.
@@ -31,7 +31,7 @@
     CHECK(back->owner == "instance-1.17");
     CHECK(back->version == 9);
     CHECK_FALSE(decodeLedgerMessage(frame));
-    CHECK_FALSE(decodeBookMessage(frame));
+    CHECK_FALSE(decodePrefillMessage(frame));
     for (std::size_t length = 0; length < frame.size(); ++length)
         CHECK_FALSE(decodeLedgerReceipt(frame.substr(0, length)));
 }
--- a/modules/gateway/request/RelayAnswer.cpp
+++ b/modules/gateway/request/RelayAnswer.cpp
@@ -125,7 +125,7 @@
         return;
     attempt_.isCounted = false;
     if (context_.prefillExchange)
-        context_.prefillExchange->takeBack(trackedPrefill_);
+        context_.prefillExchange->cancelPrefill(trackedPrefill_);
     if (attempt_.choice)
         context_.engines.finished(*attempt_.choice, attempt_.isPrefillDone, context_.now());
     else
@@ -191,7 +191,7 @@
     // A refused request was not run, so its quota is returned. A request that was sent for a caller
     // that left may have run.
     if (!wasSent_ || outcome == RequestOutcome::Refused)
-        context_.quotas->giveBack(quotaGrant_);
+        context_.quotas->release(quotaGrant_);
     const Millis took = context_.now() - arrivedAt_;
     const RouteKind kind = route_ == nullptr ? RouteKind::Safe : route_->kind;
     context_.metrics.requestEnded(kind, outcome, took.toSeconds());
--- a/modules/gateway/request/RelayContext.h
+++ b/modules/gateway/request/RelayContext.h
@@ -47,7 +47,7 @@
     PromptDeferral deferral;
     HeldPrompts deferredPrompts;
     /** Exchange of prefill estimates with other instances; null where instances have no links. */
-    std::unique_ptr<BookExchange> prefillExchange;
+    std::unique_ptr<PrefillExchange> prefillExchange;
     /** Never null while requests are accepted. */
     std::unique_ptr<QuotaExchange> quotas;
     /** Never null while requests are accepted. */
--- a/modules/gateway/request/RelayEnd.cpp
+++ b/modules/gateway/request/RelayEnd.cpp
@@ -97,7 +97,7 @@
 {
     const bool isFailure = attempt_.status >= 500;
     recordOutcome(isFailure ? AttemptSign::Failure : AttemptSign::Good);
-    context_.quarantine->ranToItsEnd(fingerprint());
+    context_.quarantine->requestCompleted(fingerprint());
     if (attempt_.status < 400 || isFailure)
         noteExecutionStarted();
     notePrefillDone();
--- a/modules/gateway/request/RelayHandOver.cpp
+++ b/modules/gateway/request/RelayHandOver.cpp
@@ -35,8 +35,8 @@
     const double fresh = attempt_.choice->freshTokens;
     if (context_.prefillExchange && context_.settings.decisions.isEntered(fresh)) {
         const ReadingRate &rate = context_.engines.prefillRate();
-        const ReadingPace pace{rate.tokensPerMilli(), rate.fixedMillis()};
-        trackedPrefill_ = context_.prefillExchange->enter(
+        const PrefillRate pace{rate.tokensPerMilli(), rate.fixedMillis()};
+        trackedPrefill_ = context_.prefillExchange->announcePrefill(
             PromptChain::of(*inbound_.prompt), engineKey(*attempt_.choice->prefill), fresh, pace);
     }
     send(attempt_.choice->prefill, fields, prefillSilenceTimeout());
@@ -80,7 +80,7 @@
     context_.health.record(attempt_.choice->prefill->entry.id, AttemptSign::Good, context_.now());
     notePrefillDone();
     if (context_.prefillExchange)
-        context_.prefillExchange->read(trackedPrefill_);
+        context_.prefillExchange->completePrefill(trackedPrefill_);
     // The decode engine may have begun to leave meanwhile. That is neither a failure nor a send:
     // another engine fetches the KV cache instead.
     if (!attempt_.choice->engine->isLeaving) {
--- a/modules/gateway/request/RelayLimits.cpp
+++ b/modules/gateway/request/RelayLimits.cpp
@@ -15,7 +15,7 @@
 void RequestRelay::noteLimit(const UpstreamEntry &upstream)
 {
     const std::optional<double> &limit = attempt_.traits.mostPerSecond;
-    if (context_.limits->heard(upstream.life(), limit) != LimitChange::Marked)
+    if (context_.limits->updateLimit(upstream.life(), limit) != LimitChange::Marked)
         return;
     context_.events(Event{
         &events::upstreamLimited,
@@ -29,14 +29,14 @@
     if (!limits.hasLimits())
         return usable;
     candidates_.clear();
-    std::vector<UpstreamLife> limited;
+    std::vector<UpstreamIncarnation> limited;
     for (const UpstreamPointer &upstream : usable) {
         if (limits.mayUse(upstream->entry.life()))
             candidates_.push_back(upstream);
         else
             limited.push_back(upstream->entry.life());
     }
-    limits.askAhead(limited);
+    limits.prefetchCredits(limited);
     return candidates_;
 }
 
@@ -47,7 +47,7 @@
         return false;
     std::vector<UpstreamPointer> available;
     for (const UpstreamPointer &upstream : context_.directory.usable(service_)) {
-        if (const auto wait = limits.roomAfter(upstream->entry.life()))
+        if (const auto wait = limits.retryDelay(upstream->entry.life()))
             noteLimitReached(*wait);
         else
             available.push_back(upstream);
@@ -56,26 +56,26 @@
         return false;
     // Only the decode engine's credit is required; without one for the prefill engine, the decode
     // engine does the prefill itself.
-    const UpstreamLife incarnation = attempt_.upstream->entry.life();
+    const UpstreamIncarnation incarnation = attempt_.upstream->entry.life();
     attempt_ = Attempt();
-    limits.ask(incarnation, [self = shared_from_this()](const CreditAnswer &result) {
+    limits.acquire(incarnation, [self = shared_from_this()](const CreditResult &result) {
         if (!self->hasEnded_)
             self->onCreditResult(result);
     });
     return true;
 }
 
-void RequestRelay::noteLimitReached(Millis roomAfter)
+void RequestRelay::noteLimitReached(Millis retryDelay)
 {
     lastCause_ = GiveUpCause::UpstreamLimit;
     lastProblem_ = "the upstreams take no more requests at the moment";
-    limitRetryAfter_ = std::min(limitRetryAfter_, roomAfter);
+    limitRetryAfter_ = std::min(limitRetryAfter_, retryDelay);
 }
 
-void RequestRelay::onCreditResult(const CreditAnswer &result)
+void RequestRelay::onCreditResult(const CreditResult &result)
 {
     if (!result.isGranted)
-        noteLimitReached(result.comeBackAfter);
+        noteLimitReached(result.retryAfter);
     if (choose())
         deferOrSend();
     else if (!requestCredit())
--- a/modules/gateway/request/RelayQuarantine.cpp
+++ b/modules/gateway/request/RelayQuarantine.cpp
@@ -26,7 +26,7 @@
 {
     if (!context_.quarantine->hasSuspects())
         return false;
-    const auto remaining = context_.quarantine->quarantineLeft(fingerprint());
+    const auto remaining = context_.quarantine->remainingQuarantine(fingerprint());
     if (!remaining)
         return false;
     if (hasResponseStarted_ || mayHaveRun_)
--- a/modules/gateway/request/RelayQuota.cpp
+++ b/modules/gateway/request/RelayQuota.cpp
@@ -28,18 +28,18 @@
     if (quota == nullptr)
         return dispatch();
     const double cost = quotaCost(*quota);
-    context_.quotas->ask(customer_, cost,
-                         [self = shared_from_this(), cost](const QuotaVerdict &outcome) {
-                             self->onQuotaOutcome(outcome, cost);
-                         });
+    context_.quotas->acquire(customer_, cost,
+                             [self = shared_from_this(), cost](const QuotaOutcome &outcome) {
+                                 self->onQuotaOutcome(outcome, cost);
+                             });
 }
 
-void RequestRelay::onQuotaOutcome(const QuotaVerdict &outcome, double cost)
+void RequestRelay::onQuotaOutcome(const QuotaOutcome &outcome, double cost)
 {
     quotaGrant_ = outcome.grant;
     // The deadline passed or the caller left before the quota's owner replied.
     if (hasEnded_)
-        return context_.quotas->giveBack(quotaGrant_);
+        return context_.quotas->release(quotaGrant_);
     if (outcome.result == QuotaResult::Granted)
         return dispatch();
     const auto jitter = static_cast<std::int64_t>(std::hash<std::string>()(inbound_.id)
@@ -47,7 +47,7 @@
     if (outcome.result == QuotaResult::Unknown)
         return refuse(503, GiveUpCause::QuotaUnknown, unknownQuotaRetryAfter + Millis(jitter),
                       "nobody can tell how much its customer has used");
-    std::optional<Millis> retryAfter = outcome.comeBackAfter;
+    std::optional<Millis> retryAfter = outcome.retryAfter;
     if (retryAfter)
         *retryAfter += Millis(jitter);
     const auto number = [](double value) {
--- a/modules/gateway/request/RelayWaiting.cpp
+++ b/modules/gateway/request/RelayWaiting.cpp
@@ -55,9 +55,9 @@
     for (const UpstreamPointer &engine : engines)
         keys.push_back(engineKey(*engine));
     attempt_ = Attempt();
-    context_.prefillExchange->ask(
+    context_.prefillExchange->query(
         PromptChain::of(*inbound_.prompt), keys,
-        [self = shared_from_this(), engines](const BookExchange::Offers &estimates) {
+        [self = shared_from_this(), engines](const PrefillExchange::Estimates &estimates) {
             if (!self->hasEnded_)
                 self->onPrefillEstimates(engines, estimates);
         });
@@ -65,7 +65,7 @@
 }
 
 void RequestRelay::onPrefillEstimates(const std::vector<UpstreamPointer> &engines,
-                                      const BookExchange::Offers &estimates)
+                                      const PrefillExchange::Estimates &estimates)
 {
     for (const UpstreamPointer &engine : engines) {
         const auto estimate = estimates.find(engineKey(*engine));
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -75,7 +75,7 @@
     /** Returns what the request costs of its customer's quota, in the quota's unit. */
     double quotaCost(const CustomerQuota &quota) const;
     void requestQuota();
-    void onQuotaOutcome(const QuotaVerdict &outcome, double cost);
+    void onQuotaOutcome(const QuotaOutcome &outcome, double cost);
     /** Identifies the request's content; computed at the first call. */
     const RequestFingerprint &fingerprint() const;
     bool isSuspected() const;
@@ -98,9 +98,9 @@
     const std::vector<UpstreamPointer> &candidates();
     /** Returns true if a credit of a limited upstream was requested; onCreditResult() continues. */
     bool requestCredit();
-    void onCreditResult(const CreditAnswer &result);
-    /** A limited upstream takes no request before @c roomAfter has passed. */
-    void noteLimitReached(Millis roomAfter);
+    void onCreditResult(const CreditResult &result);
+    /** A limited upstream takes no request before @c retryDelay has passed. */
+    void noteLimitReached(Millis retryDelay);
     /** Consumes the credits of the chosen upstreams, just before sending. */
     void consumeCredits();
     bool chooseEngine(const std::vector<UpstreamPointer> &upstreams);
@@ -114,7 +114,7 @@
     */
     bool queryPrefillEstimates();
     void onPrefillEstimates(const std::vector<UpstreamPointer> &engines,
-                            const BookExchange::Offers &estimates);
+                            const PrefillExchange::Estimates &estimates);
     void sendChosen();
     void deferPrompt(const PromptOutlook &outlook);
     void leaveDeferredQueue();
@@ -218,7 +218,7 @@
     /** Prefill estimates for this prompt by engine; set only while they are used to choose. */
     std::unordered_map<std::string, ReadingOffer> prefillEstimates_;
     /** This prompt's entry in the prefill tracker of its engine. */
-    BookExchange::Entry trackedPrefill_;
+    PrefillExchange::Entry trackedPrefill_;
     QuotaGrant quotaGrant_;
     bool isHandOverAllowed_ = true;
     /** A prefill engine has been sent this prompt. */
--- a/modules/keepers/roster/PeerRoster.cpp
+++ b/modules/keepers/directory/PeerDirectory.cpp
@@ -1,11 +1,11 @@
-#include "keepers/roster/PeerRoster.h"
+#include "keepers/directory/PeerDirectory.h"
 
 namespace cuminrail {
 
-void PeerDirectory::setPeers(const std::vector<KeeperCandidate> &peers)
+void PeerDirectory::setPeers(const std::vector<OwnerCandidate> &peers)
 {
     all_.clear();
-    for (const KeeperCandidate &peer : peers) {
+    for (const OwnerCandidate &peer : peers) {
         if (!peer.address.empty())
             all_.push_back(peer.address);
     }
--- a/modules/keepers/roster/PeerRoster.h
+++ b/modules/keepers/directory/PeerDirectory.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/random/Random.h"
-#include "keepers/ranking/KeeperRanking.h"
+#include "keepers/ranking/OwnerRanking.h"
 
 #include <functional>
 #include <optional>
@@ -17,7 +17,7 @@
     std::function<bool(const PeerAddress &)> isLinked;
 
     /** All instances; this one is among them with an empty address. */
-    void setPeers(const std::vector<KeeperCandidate> &peers);
+    void setPeers(const std::vector<OwnerCandidate> &peers);
     const std::vector<PeerAddress> &all() const { return all_; }
     /** Returns a random peer with a ready link; nothing if there is none. */
     std::optional<PeerAddress> anyLinked(const RandomHook &random) const;
--- a/modules/keepers/roster/PeerRoster_test.cpp
+++ b/modules/keepers/directory/PeerDirectory_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "keepers/roster/PeerRoster.h"
+#include "keepers/directory/PeerDirectory.h"
 
 #include <set>
 
--- a/modules/keepers/keepers.h
+++ b/modules/keepers/keepers.h
@@ -10,4 +10,4 @@
     Depends on core, ports.
 */
 
-#include "keepers/ranking/KeeperRanking.h"
+#include "keepers/ranking/OwnerRanking.h"
--- a/modules/keepers/ranking/KeeperRanking.cpp
+++ b/modules/keepers/ranking/OwnerRanking.cpp
@@ -1,4 +1,4 @@
-#include "keepers/ranking/KeeperRanking.h"
+#include "keepers/ranking/OwnerRanking.h"
 
 #include "core/hash/StableHash.h"
 
@@ -7,10 +7,10 @@
 
 namespace cuminrail {
 
-bool OwnerRanking::setPeers(std::vector<KeeperCandidate> peers)
+bool OwnerRanking::setPeers(std::vector<OwnerCandidate> peers)
 {
     const std::vector<Ranked> before = std::exchange(owners_, {});
-    for (KeeperCandidate &peer : peers) {
+    for (OwnerCandidate &peer : peers) {
         const std::uint64_t hash = StableHash().add(peer.instance.text()).value();
         owners_.push_back({std::move(peer), hash});
     }
--- a/modules/keepers/ranking/KeeperRanking.h
+++ b/modules/keepers/ranking/OwnerRanking.h
@@ -15,7 +15,7 @@
 using OwnershipKey = std::uint64_t;
 
 /** An instance that may own state for the others. */
-struct KeeperCandidate
+struct OwnerCandidate
 {
     InstanceId instance;
     /** Address on which it accepts links; empty for this instance itself. */
@@ -47,7 +47,7 @@
     static constexpr std::size_t minOwners = 16;
 
     /** The first is this instance. Returns false if the owners are the same as before. */
-    bool setPeers(std::vector<KeeperCandidate> peers);
+    bool setPeers(std::vector<OwnerCandidate> peers);
     bool isEmpty() const { return owners_.empty(); }
     /** Whether this instance is one of the owners. */
     bool isOwner() const;
@@ -80,7 +80,7 @@
 
     struct Ranked
     {
-        KeeperCandidate peer;
+        OwnerCandidate peer;
         std::uint64_t hash = 0;
     };
 
--- a/modules/keepers/ranking/KeeperRanking_test.cpp
+++ b/modules/keepers/ranking/OwnerRanking_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "keepers/ranking/KeeperRanking.h"
+#include "keepers/ranking/OwnerRanking.h"
 
 #include <algorithm>
 #include <set>
@@ -14,7 +14,7 @@
 /** Returns the ranking that instance @c self computes with @c count registered instances. */
 OwnerRanking rankingOf(int self, int count, int without = -1)
 {
-    std::vector<KeeperCandidate> peers{{InstanceId("i-" + std::to_string(self)), {}}};
+    std::vector<OwnerCandidate> peers{{InstanceId("i-" + std::to_string(self)), {}}};
     for (int i = 0; i < count; ++i) {
         if (i != self && i != without)
             peers.push_back({InstanceId("i-" + std::to_string(i)), std::to_string(i)});
--- a/modules/keepers/testing/FrameNetwork.h
+++ b/modules/keepers/testing/FrameNetwork.h
@@ -2,7 +2,7 @@
 
 #include "core/random/Random.h"
 #include "core/time/Millis.h"
-#include "keepers/ranking/KeeperRanking.h"
+#include "keepers/ranking/OwnerRanking.h"
 #include "ports/peers/PeerTransport.h"
 
 #include <cstdint>
@@ -27,9 +27,9 @@
     static std::string nameOf(int i) { return "i-" + std::to_string(i); }
     static int numberOf(const PeerAddress &address) { return std::stoi(address.substr(2)); }
     /** The list of all instances for instance @c i, itself first. */
-    static std::vector<KeeperCandidate> peersOf(int i, int count)
+    static std::vector<OwnerCandidate> peersOf(int i, int count)
     {
-        std::vector<KeeperCandidate> peers{{InstanceId(nameOf(i)), {}}};
+        std::vector<OwnerCandidate> peers{{InstanceId(nameOf(i)), {}}};
         for (int other = 0; other < count; ++other) {
             if (other != i)
                 peers.push_back({InstanceId(nameOf(other)), nameOf(other)});
--- a/modules/quarantine/exchange/QuarantineExchange.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange.cpp
@@ -38,7 +38,7 @@
     for (const auto &incarnation : *ended) {
         if (!incarnation.is_number_unsigned())
             return std::nullopt;
-        suspicion.ended.push_back(incarnation.get<UpstreamLife>());
+        suspicion.ended.push_back(incarnation.get<UpstreamIncarnation>());
     }
     return suspicion;
 }
@@ -53,14 +53,14 @@
     storeReadAt_ = now + Millis(static_cast<std::int64_t>(environment_.random() % jitter));
 }
 
-void QuarantineExchange::setPeers(std::vector<KeeperCandidate> peers)
+void QuarantineExchange::setPeers(std::vector<OwnerCandidate> peers)
 {
     peers_.setPeers(peers);
     owners_.setPeers(std::move(peers));
 }
 
 std::optional<Millis>
-QuarantineExchange::quarantineLeft(const RequestFingerprint &fingerprint) const
+QuarantineExchange::remainingQuarantine(const RequestFingerprint &fingerprint) const
 {
     if (level(fingerprint) != SuspicionLevel::Quarantined)
         return std::nullopt;
@@ -79,7 +79,7 @@
 }
 
 void QuarantineExchange::upstreamEnded(const RequestFingerprint &fingerprint,
-                                       UpstreamLife incarnation)
+                                       UpstreamIncarnation incarnation)
 {
     ++stats_.ends;
     const Millis now = environment_.clock.now();
@@ -110,7 +110,7 @@
     return true;
 }
 
-void QuarantineExchange::ranToItsEnd(const RequestFingerprint &fingerprint)
+void QuarantineExchange::requestCompleted(const RequestFingerprint &fingerprint)
 {
     if (!table_.recordCompletion(fingerprint, environment_.clock.now()))
         return;
@@ -129,7 +129,7 @@
         remove(fingerprint);
 }
 
-bool QuarantineExchange::received(const PeerAddress &from, const std::string &frame)
+bool QuarantineExchange::handleFrame(const PeerAddress &from, const std::string &frame)
 {
     const auto message = decodeQuarantineMessage(frame);
     if (!message)
--- a/modules/quarantine/exchange/QuarantineExchange.h
+++ b/modules/quarantine/exchange/QuarantineExchange.h
@@ -3,11 +3,11 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "keepers/ranking/KeeperRanking.h"
-#include "keepers/roster/PeerRoster.h"
+#include "keepers/directory/PeerDirectory.h"
+#include "keepers/ranking/OwnerRanking.h"
 #include "ports/store/ObjectStore.h"
-#include "quarantine/book/SuspectBook.h"
 #include "quarantine/messages/QuarantineMessages.h"
+#include "quarantine/table/SuspicionTable.h"
 
 #include <functional>
 #include <map>
@@ -69,7 +69,7 @@
     explicit QuarantineExchange(Environment environment);
 
     /** All instances, this one first, each other one with the address on which it accepts links. */
-    void setPeers(std::vector<KeeperCandidate> peers);
+    void setPeers(std::vector<OwnerCandidate> peers);
     /** Returns whether a link is ready; optional. Anti-entropy uses only peers with a ready link.
      */
     void setLinkCheck(std::function<bool(const PeerAddress &)> isLinked)
@@ -82,22 +82,22 @@
         return table_.level(fingerprint, environment_.clock.now());
     }
     /** Returns the remaining quarantine of a request; nothing if it may run. */
-    std::optional<Millis> quarantineLeft(const RequestFingerprint &fingerprint) const;
+    std::optional<Millis> remainingQuarantine(const RequestFingerprint &fingerprint) const;
     /** Whether any request is suspected; if none is, no fingerprint needs to be computed. */
     bool hasSuspects() const { return table_.hasSuspects(); }
 
     /** An upstream ended while it ran the request. */
-    void upstreamEnded(const RequestFingerprint &fingerprint, UpstreamLife incarnation);
+    void upstreamEnded(const RequestFingerprint &fingerprint, UpstreamIncarnation incarnation);
     /** An upstream sent the complete response and is therefore still running. */
-    void ranToItsEnd(const RequestFingerprint &fingerprint);
+    void requestCompleted(const RequestFingerprint &fingerprint);
 
     /** Handles a frame from another instance. Returns false if it is not a quarantine message. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
     /** Performs due work; to be called every few milliseconds. */
     void tick();
 
     const QuarantineStats &stats() const { return stats_; }
-    const SuspicionTable &book() const { return table_; }
+    const SuspicionTable &table() const { return table_; }
 
 private:
     /** A write to the store that is retried until it succeeds. */
--- a/modules/quarantine/exchange/QuarantineExchange_test.cpp
+++ b/modules/quarantine/exchange/QuarantineExchange_test.cpp
@@ -122,8 +122,8 @@
 TEST_CASE("instances that were unreachable or restarted learn of a quarantine within seconds")
 {
     const auto quarantine = [](QuarantineCluster &cluster) {
-        for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
-             ++incarnation)
+        for (UpstreamIncarnation incarnation = 1;
+             incarnation <= SuspicionTable::quarantinedThreshold; ++incarnation)
             cluster.at(1).upstreamEnded(fatal, incarnation);
         cluster.advance(Millis(100));
     };
@@ -186,7 +186,7 @@
     QuarantineCluster cluster(6, 12, 1);
     // Still running when the request is quarantined.
     cluster.request(0, fatal, false);
-    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+    for (UpstreamIncarnation incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
          ++incarnation)
         cluster.at(1).upstreamEnded(fatal, incarnation);
     cluster.advance(Millis(30));
@@ -203,14 +203,14 @@
 TEST_CASE("a quarantine expires, and reports its remaining time until then")
 {
     QuarantineCluster cluster(1, 12, 1);
-    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+    for (UpstreamIncarnation incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
          ++incarnation)
         cluster.at(0).upstreamEnded(fatal, incarnation);
     cluster.advance(Millis(100));
-    CHECK(cluster.at(0).quarantineLeft(fatal) == SuspicionTable::retention - Millis(100));
+    CHECK(cluster.at(0).remainingQuarantine(fatal) == SuspicionTable::retention - Millis(100));
     CHECK(cluster.store.size() == 1);
     cluster.now = cluster.now + SuspicionTable::retention;
-    CHECK_FALSE(cluster.at(0).quarantineLeft(fatal));
+    CHECK_FALSE(cluster.at(0).remainingQuarantine(fatal));
     cluster.advance(QuarantineExchange::expireInterval);
     CHECK(cluster.store.empty());
 }
@@ -219,7 +219,7 @@
 TEST_CASE("malformed entries of the store are skipped")
 {
     QuarantineCluster cluster(1, 12, 1);
-    for (UpstreamLife incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
+    for (UpstreamIncarnation incarnation = 1; incarnation <= SuspicionTable::quarantinedThreshold;
          ++incarnation)
         cluster.at(0).upstreamEnded(fatal, incarnation);
     cluster.advance(Millis(100));
@@ -229,6 +229,6 @@
     cluster.store["quarantine/short"] = "{\"ended\":[1,2,3]}";
     killAll(cluster);
     cluster.advance(Millis(1500));
-    CHECK(cluster.at(0).quarantineLeft(fatal));
-    CHECK(cluster.at(0).book().raisedCount() == 1);
+    CHECK(cluster.at(0).remainingQuarantine(fatal));
+    CHECK(cluster.at(0).table().suspectCount() == 1);
 }
--- a/modules/quarantine/messages/QuarantineMessages.h
+++ b/modules/quarantine/messages/QuarantineMessages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "quarantine/book/SuspectBook.h"
+#include "quarantine/table/SuspicionTable.h"
 
 #include <optional>
 #include <string>
--- a/modules/quarantine/messages/QuarantineMessages_test.cpp
+++ b/modules/quarantine/messages/QuarantineMessages_test.cpp
@@ -24,7 +24,7 @@
     CHECK(same.isReport);
     REQUIRE(same.suspicions.size() == 2);
     CHECK(same.suspicions[0].fingerprint == fingerprint());
-    CHECK(same.suspicions[0].ended == std::vector<UpstreamLife>{7, 8});
+    CHECK(same.suspicions[0].ended == std::vector<UpstreamIncarnation>{7, 8});
     CHECK(same.suspicions[0].remaining == Millis(4000));
     const auto cleared =
         decodeQuarantineMessage(encodeQuarantineMessage(SuspicionCleared{fingerprint()}));
--- a/modules/quarantine/quarantine.h
+++ b/modules/quarantine/quarantine.h
@@ -10,7 +10,7 @@
     Depends on core, ports, identity (hashes), keepers, membership (bounds and encoding of frames).
 */
 
-#include "quarantine/book/SuspectBook.h"
 #include "quarantine/exchange/QuarantineExchange.h"
 #include "quarantine/fingerprint/RequestFingerprint.h"
 #include "quarantine/messages/QuarantineMessages.h"
+#include "quarantine/table/SuspicionTable.h"
--- a/modules/quarantine/book/SuspectBook.cpp
+++ b/modules/quarantine/table/SuspicionTable.cpp
@@ -1,4 +1,4 @@
-#include "quarantine/book/SuspectBook.h"
+#include "quarantine/table/SuspicionTable.h"
 
 #include <algorithm>
 
@@ -57,7 +57,7 @@
         stored = noted_.extract(fingerprint);
     if (!stored || now >= stored->expiresAt)
         stored = Entry{{}, now + std::min(suspicion.remaining, retention)};
-    for (const UpstreamLife incarnation : suspicion.ended) {
+    for (const UpstreamIncarnation incarnation : suspicion.ended) {
         const bool isKnown = std::find(stored->ended.begin(), stored->ended.end(), incarnation)
             != stored->ended.end();
         if (!isKnown && stored->ended.size() < maxEnded)
--- a/modules/quarantine/book/SuspectBook.h
+++ b/modules/quarantine/table/SuspicionTable.h
@@ -18,7 +18,7 @@
 {
     RequestFingerprint fingerprint;
     /** No duplicates, SuspicionTable::maxEnded entries at most. */
-    std::vector<UpstreamLife> ended;
+    std::vector<UpstreamIncarnation> ended;
     /** Time until the entry expires. */
     Millis remaining;
 };
@@ -72,7 +72,7 @@
     std::optional<Suspicion> find(const RequestFingerprint &fingerprint, Millis now) const;
     /** Returns whether any request is suspected; if none is, callers can skip the lookup. */
     bool hasSuspects() const { return !suspects_.entries.empty(); }
-    std::size_t raisedCount() const { return suspects_.entries.size(); }
+    std::size_t suspectCount() const { return suspects_.entries.size(); }
     /** Returns the next suspected or quarantined requests, in round-robin order over calls. */
     std::vector<Suspicion> nextSuspects(std::size_t maxCount, Millis now);
     /** Removes expired entries and returns those that were quarantined. */
@@ -81,7 +81,7 @@
 private:
     struct Entry
     {
-        std::vector<UpstreamLife> ended;
+        std::vector<UpstreamIncarnation> ended;
         Millis expiresAt;
     };
     /** Entries and the order in which they were inserted. */
--- a/modules/quarantine/book/SuspectBook_test.cpp
+++ b/modules/quarantine/table/SuspicionTable_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "quarantine/book/SuspectBook.h"
+#include "quarantine/table/SuspicionTable.h"
 
 #include <string>
 
@@ -15,7 +15,7 @@
     return RequestFingerprint::of("north", "/safe/" + std::to_string(number), "body");
 }
 
-Suspicion suspicionOf(int number, std::vector<UpstreamLife> incarnations,
+Suspicion suspicionOf(int number, std::vector<UpstreamIncarnation> incarnations,
                       Millis remaining = SuspicionTable::retention)
 {
     return {fingerprintOf(number), std::move(incarnations), remaining};
@@ -28,7 +28,7 @@
 {
     struct Row
     {
-        std::vector<UpstreamLife> reported;
+        std::vector<UpstreamIncarnation> reported;
         bool isRaised;
         SuspicionLevel after;
     };
@@ -87,7 +87,7 @@
     CHECK(table.level(fingerprintOf(50), start) == SuspicionLevel::Noted);
     for (int i = 0; i < count; ++i)
         table.add(suspicionOf(i, {1, 2}), start);
-    CHECK(table.raisedCount() == SuspicionTable::maxSuspects);
+    CHECK(table.suspectCount() == SuspicionTable::maxSuspects);
     for (int i = 0; i < count; ++i)
         table.recordCompletion(fingerprintOf(i), start);
     CHECK_FALSE(table.hasCompletedRecently(fingerprintOf(0), start));
--- a/modules/quarantine/testing/QuarantineCluster.h
+++ b/modules/quarantine/testing/QuarantineCluster.h
@@ -54,7 +54,7 @@
     {
         if (!isRunning(i))
             return;
-        if (at(i).quarantineLeft(fingerprint))
+        if (at(i).remainingQuarantine(fingerprint))
             ++refused;
         else
             send({i, fingerprint, isFatal, 1});
@@ -66,7 +66,7 @@
         while (now < end) {
             now = now + step;
             deliver([this](int to, const PeerAddress &from, const std::string &frame) {
-                at(to).received(from, frame);
+                at(to).handleFrame(from, frame);
             });
             endRuns();
             for (int i = 0; i < count(); ++i) {
@@ -126,7 +126,7 @@
     };
     struct Engine
     {
-        UpstreamLife incarnation = 1;
+        UpstreamIncarnation incarnation = 1;
         Millis downUntil;
     };
 
@@ -216,7 +216,7 @@
         for (const Request &request : completed) {
             ++served;
             if (isRunning(request.instance))
-                at(request.instance).ranToItsEnd(request.fingerprint);
+                at(request.instance).requestCompleted(request.fingerprint);
         }
         for (const std::size_t engine : fatal)
             crash(engine);
@@ -231,7 +231,8 @@
             return run.engine == engine;
         };
         runs_.erase(std::remove_if(runs_.begin(), runs_.end(), isHere), runs_.end());
-        const UpstreamLife incarnation = engine * incarnationBase + engines_[engine].incarnation++;
+        const UpstreamIncarnation incarnation =
+            engine * incarnationBase + engines_[engine].incarnation++;
         engines_[engine].downUntil = now + engineRestartTime;
         for (const Request &request : interrupted)
             ends_[request.fingerprint].push_back(now);
@@ -239,7 +240,7 @@
             handleEnd(std::move(request), incarnation);
     }
 
-    void handleEnd(Request request, UpstreamLife incarnation)
+    void handleEnd(Request request, UpstreamIncarnation incarnation)
     {
         const int i = request.instance;
         if (!isRunning(i))
@@ -252,7 +253,7 @@
             ++failed;
     }
 
-    static constexpr UpstreamLife incarnationBase = 1000000;
+    static constexpr UpstreamIncarnation incarnationBase = 1000000;
 
     std::vector<std::unique_ptr<QuarantineExchange>> instances_;
     std::vector<Engine> engines_;
--- a/modules/quotas/exchange/QuotaExchange.cpp
+++ b/modules/quotas/exchange/QuotaExchange.cpp
@@ -30,7 +30,7 @@
     ledger_.setOwnershipStartedAt(clock_.now());
 }
 
-void QuotaExchange::setPeers(std::vector<KeeperCandidate> peers)
+void QuotaExchange::setPeers(std::vector<OwnerCandidate> peers)
 {
     arePeersKnown_ = true;
     instanceCount_ = std::max<std::size_t>(1, peers.size());
@@ -59,11 +59,11 @@
     return true;
 }
 
-void QuotaExchange::ask(const std::string &customer, double cost, Completion done)
+void QuotaExchange::acquire(const std::string &customer, double cost, Completion done)
 {
     const CustomerQuota *limit = quota(customer);
     if (limit == nullptr)
-        return done(QuotaVerdict());
+        return done(QuotaOutcome());
     if (!arePeersKnown_) {
         const Millis deadline = clock_.now() + peerDiscoveryTimeout;
         awaitingPeers_.push_back(Pending{customer, cost, std::move(done), {}, deadline, false});
@@ -76,7 +76,7 @@
 {
     const CustomerQuota *limit = quota(customer);
     if (limit == nullptr)
-        return done(QuotaVerdict());
+        return done(QuotaOutcome());
     const PeerAddress &owner = owners_.ownerOf(keyOf(customer), clock_.now());
     if (!owner.empty() && takeLocally(customer, *limit, cost)) {
         ++stats_.unasked;
@@ -114,9 +114,9 @@
 void QuotaExchange::finish(const Pending &pending, const QuotaDecision &decision,
                            const PeerAddress &owner)
 {
-    QuotaVerdict outcome;
+    QuotaOutcome outcome;
     outcome.result = decision.isGranted ? QuotaResult::Granted : QuotaResult::Refused;
-    outcome.comeBackAfter = decision.comeBackAfter;
+    outcome.retryAfter = decision.retryAfter;
     outcome.level = decision.level;
     if (decision.isGranted)
         outcome.grant = {pending.customer, pending.cost, owner};
@@ -124,7 +124,7 @@
     pending.done(outcome);
 }
 
-void QuotaExchange::giveBack(QuotaGrant &grant)
+void QuotaExchange::release(QuotaGrant &grant)
 {
     const QuotaGrant unused = std::exchange(grant, QuotaGrant());
     if (!unused.isSet())
@@ -147,7 +147,7 @@
     transport_.send(to, encodeQuotaMessage(message));
 }
 
-bool QuotaExchange::received(const PeerAddress &from, const std::string &frame)
+bool QuotaExchange::handleFrame(const PeerAddress &from, const std::string &frame)
 {
     const auto message = decodeQuotaMessage(frame);
     if (!message)
@@ -159,7 +159,7 @@
 void QuotaExchange::handle(const PeerAddress &from, const QuotaQuery &query)
 {
     const QuotaDecision decision = takeFromLedger(query.customer, static_cast<double>(query.cost));
-    const auto retryAfter = decision.comeBackAfter.value_or(Millis(0)).count();
+    const auto retryAfter = decision.retryAfter.value_or(Millis(0)).count();
     const auto maxMillis = static_cast<std::int64_t>(QuotaMessageLimits::millis);
     send(from,
          QuotaReply{query.number, decision.isGranted,
@@ -186,7 +186,7 @@
     decision.isGranted = reply.isGranted;
     decision.level = static_cast<double>(reply.level);
     if (reply.retryAfterMillis > 0)
-        decision.comeBackAfter = Millis(static_cast<std::int64_t>(reply.retryAfterMillis));
+        decision.retryAfter = Millis(static_cast<std::int64_t>(reply.retryAfterMillis));
     finish(pending, decision, from);
 }
 
@@ -197,7 +197,7 @@
     ledger_.charge(charge.customer, charge.isGivenBack ? -cost : cost, isSubstitute, clock_.now());
 }
 
-void QuotaExchange::dropQuestions()
+void QuotaExchange::dropPendingQueries()
 {
     pending_.clear();
     awaitingPeers_.clear();
@@ -244,7 +244,7 @@
 void QuotaExchange::finishUnknown(const Completion &done)
 {
     ++stats_.unknown;
-    QuotaVerdict outcome;
+    QuotaOutcome outcome;
     outcome.result = QuotaResult::Unknown;
     done(outcome);
 }
--- a/modules/quotas/exchange/QuotaExchange.h
+++ b/modules/quotas/exchange/QuotaExchange.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/time/Clock.h"
-#include "keepers/ranking/KeeperRanking.h"
-#include "quotas/book/QuotaBook.h"
+#include "keepers/ranking/OwnerRanking.h"
+#include "quotas/ledger/QuotaLedger.h"
 #include "quotas/messages/QuotaMessages.h"
 
 #include <functional>
@@ -37,12 +37,12 @@
     bool isSet() const { return !customer.empty(); }
 };
 
-struct QuotaVerdict
+struct QuotaOutcome
 {
     QuotaResult result = QuotaResult::Granted;
     QuotaGrant grant;
     /** @see QuotaDecision */
-    std::optional<Millis> comeBackAfter;
+    std::optional<Millis> retryAfter;
     /** Level of the bucket as the owner reported it. */
     double level = 0;
 };
@@ -86,21 +86,21 @@
      */
     static constexpr Millis lateReplyRetention = Millis::seconds(5);
 
-    using Completion = std::function<void(const QuotaVerdict &outcome)>;
+    using Completion = std::function<void(const QuotaOutcome &outcome)>;
 
     QuotaExchange(QuotaTolerance tolerance, PeerTransport transport, Clock clock);
 
     void setQuotas(QuotaTable quotas) { ledger_.setQuotas(std::move(quotas), clock_.now()); }
     /** There are no other instances to query. */
-    void setAlone() { arePeersKnown_ = true; }
+    void setStandalone() { arePeersKnown_ = true; }
     /**
         All instances, this one first, each other one with the address on which it accepts links.
         Until the first call owners are unknown: requests wait for peerDiscoveryTimeout, then end
         as Unknown.
     */
-    void setPeers(std::vector<KeeperCandidate> peers);
+    void setPeers(std::vector<OwnerCandidate> peers);
     /** Share of all instances, 0 to 1, to which this one has a link. */
-    void setReach(double share) { ledger_.setReach(share); }
+    void setReachableShare(double share) { ledger_.setReachableShare(share); }
     /** Returns the customer's quota, or null. */
     const CustomerQuota *quota(const std::string &customer) const
     {
@@ -112,14 +112,14 @@
         before this returns if no query is needed, else on the reply or in a tick() after the
         time-outs.
     */
-    void ask(const std::string &customer, double cost, Completion done);
+    void acquire(const std::string &customer, double cost, Completion done);
     /** Returns the grant of a request that was not run, and clears it. */
-    void giveBack(QuotaGrant &grant);
+    void release(QuotaGrant &grant);
 
     /** Handles a frame from another instance. Returns false if it is not a quota message. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
     /** Drops pending requests without calling their completions; for the end of the process. */
-    void dropQuestions();
+    void dropPendingQueries();
     /** Handles time-outs; to be called every few milliseconds. */
     void tick();
 
--- a/modules/quotas/exchange/QuotaExchange_test.cpp
+++ b/modules/quotas/exchange/QuotaExchange_test.cpp
@@ -202,8 +202,8 @@
                                Clock([&now] { return now; }));
         exchange.setQuotas(usualQuotas);
         std::vector<QuotaResult> results;
-        exchange.ask(north, 500,
-                     [&](const QuotaVerdict &outcome) { results.push_back(outcome.result); });
+        exchange.acquire(north, 500,
+                         [&](const QuotaOutcome &outcome) { results.push_back(outcome.result); });
         CHECK(results.empty());
         for (Millis passed; passed < row.peersKnownAfter; passed = passed + Millis(10)) {
             now = now + Millis(10);
--- a/modules/quotas/book/QuotaBook.cpp
+++ b/modules/quotas/ledger/QuotaLedger.cpp
@@ -1,4 +1,4 @@
-#include "quotas/book/QuotaBook.h"
+#include "quotas/ledger/QuotaLedger.h"
 
 #include "core/guards/Guards.h"
 
@@ -91,7 +91,7 @@
     QuotaDecision decision;
     decision.level = available;
     if (needed <= depth(*limit)) {
-        decision.comeBackAfter = retryDelay(entry, *limit, needed, now);
+        decision.retryAfter = retryDelay(entry, *limit, needed, now);
         entry.retryBacklog += cost;
     }
     return decision;
--- a/modules/quotas/book/QuotaBook.h
+++ b/modules/quotas/ledger/QuotaLedger.h
@@ -18,7 +18,7 @@
 {
     bool isGranted = false;
     /** When the bucket can cover the request; not set for a request that it can never cover. */
-    std::optional<Millis> comeBackAfter;
+    std::optional<Millis> retryAfter;
     /** Bucket level after this decision, in the quota's unit; negative while it is in debt. */
     double level = 0;
 };
@@ -63,7 +63,7 @@
     /** Takes effect at once. Removes buckets of customers without a quota. */
     void setQuotas(QuotaTable quotas, Millis now);
     /** Share of all instances, 0 to 1, to which this one has a link. */
-    void setReach(double share) { reachableShare_ = share; }
+    void setReachableShare(double share) { reachableShare_ = share; }
     /** When this instance became the owner of its present keys. */
     void setOwnershipStartedAt(Millis startedAt) { ownershipStartedAt_ = startedAt; }
 
--- a/modules/quotas/book/QuotaBook_test.cpp
+++ b/modules/quotas/ledger/QuotaLedger_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "quotas/book/QuotaBook.h"
+#include "quotas/ledger/QuotaLedger.h"
 
 using namespace cuminrail;
 
@@ -47,9 +47,9 @@
     Millis latest;
     for (int i = 0; i < 4; ++i) {
         const QuotaDecision decision = ledger.take("north", 20000, false, now);
-        REQUIRE(decision.comeBackAfter);
-        CHECK(*decision.comeBackAfter > latest);
-        latest = *decision.comeBackAfter;
+        REQUIRE(decision.retryAfter);
+        CHECK(*decision.retryAfter > latest);
+        latest = *decision.retryAfter;
     }
     CHECK(ledger.take("north", 20000, false, now + latest).isGranted);
 }
@@ -72,7 +72,7 @@
         QuotaLedger ledger = ledgerOf(row.quota);
         const QuotaDecision decision = ledger.take("north", row.cost, false, start + Millis(9000));
         CHECK(decision.isGranted == row.isGranted);
-        CHECK(decision.comeBackAfter.has_value() == row.hasRetryAfter);
+        CHECK(decision.retryAfter.has_value() == row.hasRetryAfter);
         CHECK(ledger.take("south", row.cost, false, start).isGranted);
     }
 }
--- a/modules/quotas/quotas.h
+++ b/modules/quotas/quotas.h
@@ -11,6 +11,6 @@
     (bounds and encoding of frames).
 */
 
-#include "quotas/book/QuotaBook.h"
 #include "quotas/exchange/QuotaExchange.h"
+#include "quotas/ledger/QuotaLedger.h"
 #include "quotas/messages/QuotaMessages.h"
--- a/modules/quotas/testing/QuotaCluster.h
+++ b/modules/quotas/testing/QuotaCluster.h
@@ -54,7 +54,7 @@
         if (!isRunning(i))
             return;
         offered += cost;
-        at(i).ask(customer, cost, [this, cost](const QuotaVerdict &outcome) {
+        at(i).acquire(customer, cost, [this, cost](const QuotaOutcome &outcome) {
             ++results[static_cast<std::size_t>(outcome.result)];
             if (outcome.result != QuotaResult::Granted)
                 return;
@@ -70,7 +70,7 @@
         while (now < end) {
             now = now + step;
             deliver([this](int to, const PeerAddress &from, const std::string &frame) {
-                at(to).received(from, frame);
+                at(to).handleFrame(from, frame);
             });
             for (int i = 0; i < count_; ++i) {
                 if (isRunning(i))
@@ -134,7 +134,7 @@
     /** The ranking with an address for every instance. */
     OwnerRanking ranking() const
     {
-        std::vector<KeeperCandidate> peers;
+        std::vector<OwnerCandidate> peers;
         peers.reserve(static_cast<std::size_t>(count_));
         for (int i = 0; i < count_; ++i)
             peers.push_back({InstanceId(nameOf(i)), nameOf(i)});
@@ -155,7 +155,7 @@
                 since = isUnreachable ? (since == Millis() ? now : since) : Millis();
                 linked += since == Millis() || now - since < linkTimeout ? 1 : 0;
             }
-            at(i).setReach(static_cast<double>(linked) / count_);
+            at(i).setReachableShare(static_cast<double>(linked) / count_);
         }
     }
 
--- a/modules/readingbooks/exchange/BookExchange.cpp
+++ b/modules/readingbooks/exchange/PrefillExchange.cpp
@@ -1,38 +1,38 @@
-#include "readingbooks/exchange/BookExchange.h"
+#include "readingbooks/exchange/PrefillExchange.h"
 
 #include <algorithm>
 #include <utility>
 
 namespace cuminrail {
 
-BookExchange::BookExchange(std::string self, PeerTransport transport, Clock clock)
+PrefillExchange::PrefillExchange(std::string self, PeerTransport transport, Clock clock)
     : self_(std::move(self)), transport_(std::move(transport)), clock_(std::move(clock))
 { }
 
-ReadingBook &BookExchange::trackerOf(EngineKey engine)
+PrefillTracker &PrefillExchange::trackerOf(EngineKey engine)
 {
     const auto [entry, isNew] = trackers_.try_emplace(engine);
     TrackedEngine &tracked = entry->second;
-    if (isNew && hadReadNothing && owners_.ownsKey(engine))
-        tracked.tracker = ReadingBook(hadReadNothing(engine, ownersChangedAt_));
+    if (isNew && wasUnusedAt && owners_.ownsKey(engine))
+        tracked.tracker = PrefillTracker(wasUnusedAt(engine, ownersChangedAt_));
     tracked.usedAt = clock_.now();
     return tracked.tracker;
 }
 
-void BookExchange::setPeers(std::vector<KeeperCandidate> peers)
+void PrefillExchange::setPeers(std::vector<OwnerCandidate> peers)
 {
     if (owners_.setPeers(std::move(peers)))
         ownersChangedAt_ = clock_.now();
 }
 
-void BookExchange::send(const PeerAddress &to, const PrefillMessage &message)
+void PrefillExchange::send(const PeerAddress &to, const PrefillMessage &message)
 {
     ++stats_.framesSent;
-    transport_.send(to, encodeBookMessage(message));
+    transport_.send(to, encodePrefillMessage(message));
 }
 
-void BookExchange::ask(const PromptChain &chain, const std::vector<EngineKey> &engines,
-                       Completion done)
+void PrefillExchange::query(const PromptChain &chain, const std::vector<EngineKey> &engines,
+                            Completion done)
 {
     const Millis now = clock_.now();
     ++stats_.queries;
@@ -43,7 +43,7 @@
     for (std::size_t i = 0; i < engineCount; ++i) {
         const PeerAddress &owner = owners_.ownerOf(engines[i], now);
         if (owner.empty())
-            pending.estimates[engines[i]] = trackerOf(engines[i]).offer(chain, now);
+            pending.estimates[engines[i]] = trackerOf(engines[i]).estimate(chain, now);
         else
             pending.awaited[owner].push_back(engines[i]);
     }
@@ -56,33 +56,33 @@
         send(owner, PrefillQuery{number, chain, keys});
 }
 
-BookExchange::Entry BookExchange::enter(const PromptChain &chain, EngineKey engine,
-                                        double freshTokens, const ReadingPace &rate)
+PrefillExchange::Entry PrefillExchange::announcePrefill(const PromptChain &chain, EngineKey engine,
+                                                        double freshTokens, const PrefillRate &rate)
 {
     const Millis now = clock_.now();
     Entry entry{nextNumber_++, engine, owners_.ownerOf(engine, now)};
     if (entry.owner.empty())
-        trackerOf(engine).enter({self_, entry.number}, chain, freshTokens, rate, now);
+        trackerOf(engine).add({self_, entry.number}, chain, freshTokens, rate, now);
     else
         send(entry.owner, PrefillStart{entry.number, engine, chain, freshTokens, rate});
     return entry;
 }
 
-void BookExchange::finishEntry(Entry &entry, bool wasPrefilled)
+void PrefillExchange::finishEntry(Entry &entry, bool wasPrefilled)
 {
     const Entry ended = std::exchange(entry, Entry());
     if (!ended.isSet())
         return;
-    const BookEnd message{ended.number, ended.engine, wasPrefilled};
+    const PrefillEnd message{ended.number, ended.engine, wasPrefilled};
     if (ended.owner.empty())
         handle(self_, message);
     else
         send(ended.owner, message);
 }
 
-bool BookExchange::received(const PeerAddress &from, const std::string &frame)
+bool PrefillExchange::handleFrame(const PeerAddress &from, const std::string &frame)
 {
-    const auto message = decodeBookMessage(frame);
+    const auto message = decodePrefillMessage(frame);
     if (!message) {
         ++stats_.framesRefused;
         return false;
@@ -91,16 +91,16 @@
     return true;
 }
 
-void BookExchange::handle(const PeerAddress &from, const PrefillQuery &query)
+void PrefillExchange::handle(const PeerAddress &from, const PrefillQuery &query)
 {
     PrefillReply reply;
     reply.number = query.number;
     for (const EngineKey engine : query.engines)
-        reply.estimates.push_back(trackerOf(engine).offer(query.chain, clock_.now()));
+        reply.estimates.push_back(trackerOf(engine).estimate(query.chain, clock_.now()));
     send(from, reply);
 }
 
-void BookExchange::handle(const PeerAddress &from, const PrefillReply &reply)
+void PrefillExchange::handle(const PeerAddress &from, const PrefillReply &reply)
 {
     owners_.recordReply(from);
     const auto found = pending_.find(reply.number);
@@ -117,22 +117,22 @@
         complete(reply.number);
 }
 
-void BookExchange::handle(const PeerAddress &from, const PrefillStart &entry)
+void PrefillExchange::handle(const PeerAddress &from, const PrefillStart &entry)
 {
     trackerOf(entry.engine)
-        .enter({from, entry.number}, entry.chain, entry.freshTokens, entry.rate, clock_.now());
+        .add({from, entry.number}, entry.chain, entry.freshTokens, entry.rate, clock_.now());
 }
 
-void BookExchange::handle(const PeerAddress &from, const BookEnd &end)
+void PrefillExchange::handle(const PeerAddress &from, const PrefillEnd &end)
 {
-    const ReadingTicket id{from, end.number};
+    const PrefillId id{from, end.number};
     if (end.wasPrefilled)
-        trackerOf(end.engine).read(id, clock_.now());
+        trackerOf(end.engine).complete(id, clock_.now());
     else
-        trackerOf(end.engine).takeBack(id, clock_.now());
+        trackerOf(end.engine).cancel(id, clock_.now());
 }
 
-void BookExchange::complete(std::uint64_t number)
+void PrefillExchange::complete(std::uint64_t number)
 {
     const auto found = pending_.find(number);
     const Pending pending = std::move(found->second);
@@ -140,7 +140,7 @@
     pending.done(pending.estimates);
 }
 
-void BookExchange::tick()
+void PrefillExchange::tick()
 {
     const Millis now = clock_.now();
     std::vector<std::uint64_t> timedOut;
@@ -159,7 +159,7 @@
         dropIdleTrackers(now);
 }
 
-void BookExchange::dropIdleTrackers(Millis now)
+void PrefillExchange::dropIdleTrackers(Millis now)
 {
     nextDropAt_ = now + trackerIdleTimeout / 4;
     for (auto it = trackers_.begin(); it != trackers_.end();)
--- a/modules/readingbooks/exchange/BookExchange.h
+++ b/modules/readingbooks/exchange/PrefillExchange.h
@@ -1,9 +1,9 @@
 #pragma once
 
 #include "core/time/Clock.h"
-#include "keepers/ranking/KeeperRanking.h"
-#include "readingbooks/book/ReadingBook.h"
-#include "readingbooks/messages/BookMessages.h"
+#include "keepers/ranking/OwnerRanking.h"
+#include "readingbooks/messages/PrefillMessages.h"
+#include "readingbooks/tracker/PrefillTracker.h"
 
 #include <functional>
 #include <map>
@@ -32,7 +32,7 @@
     Not thread-safe: used from one thread. No call blocks. Estimates whose replies do not arrive in
     time are left out.
 */
-class BookExchange
+class PrefillExchange
 {
 public:
     /**
@@ -53,43 +53,43 @@
 
         bool isSet() const { return number != 0; }
     };
-    using Offers = std::unordered_map<EngineKey, ReadingOffer>;
-    using Completion = std::function<void(const Offers &estimates)>;
+    using Estimates = std::unordered_map<EngineKey, ReadingOffer>;
+    using Completion = std::function<void(const Estimates &estimates)>;
 
-    BookExchange(std::string self, PeerTransport transport, Clock clock);
+    PrefillExchange(std::string self, PeerTransport transport, Clock clock);
 
     /** All instances, this one first, each other one with the address on which it accepts links. */
-    void setPeers(std::vector<KeeperCandidate> peers);
+    void setPeers(std::vector<OwnerCandidate> peers);
     /**
         Returns whether an engine had not prefilled anything at an instant; optional. If so, a
         tracker owned here since that instant knows all parts that the engine holds. An engine that
         is wrongly estimated to hold parts gets prompts that take it three times as long as
         estimated: after a start, and while new engines replace lost ones.
     */
-    std::function<bool(EngineKey engine, Millis at)> hadReadNothing;
+    std::function<bool(EngineKey engine, Millis at)> wasUnusedAt;
     /** An engine is gone, or is a new incarnation: it holds none of the announced parts. */
-    void forget(EngineKey engine) { trackers_.erase(engine); }
+    void removeEngine(EngineKey engine) { trackers_.erase(engine); }
     /** Addresses of the other instances that own trackers, to which links are kept open. */
-    std::vector<PeerAddress> keepers() const { return owners_.addresses(); }
+    std::vector<PeerAddress> ownerAddresses() const { return owners_.addresses(); }
 
     /**
         Requests the estimates for a prompt at some engines. The completion is called once, with the
         estimates known by then: before this returns if all engines are owned here, else on the last
         reply or in a tick() after the time-out.
     */
-    void ask(const PromptChain &chain, const std::vector<EngineKey> &engines, Completion done);
+    void query(const PromptChain &chain, const std::vector<EngineKey> &engines, Completion done);
     /** Announces that a prompt is being sent to an engine. */
-    Entry enter(const PromptChain &chain, EngineKey engine, double freshTokens,
-                const ReadingPace &rate);
+    Entry announcePrefill(const PromptChain &chain, EngineKey engine, double freshTokens,
+                          const PrefillRate &rate);
     /** The prompt was prefilled. Clears the entry. */
-    void read(Entry &entry) { finishEntry(entry, true); }
+    void completePrefill(Entry &entry) { finishEntry(entry, true); }
     /** The prompt will not be prefilled there. Clears the entry. */
-    void takeBack(Entry &entry) { finishEntry(entry, false); }
+    void cancelPrefill(Entry &entry) { finishEntry(entry, false); }
 
     /** Handles a frame from another instance. Returns false if it is not a valid message. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
     /** Drops pending queries without calling their completions; for the end of the process. */
-    void dropQuestions() { pending_.clear(); }
+    void dropPendingQueries() { pending_.clear(); }
     /** Handles time-outs; to be called every few milliseconds. */
     void tick();
 
@@ -100,18 +100,18 @@
     struct Pending
     {
         Completion done;
-        Offers estimates;
+        Estimates estimates;
         /** Engines in the query to each owner whose reply is awaited. */
         std::map<PeerAddress, std::vector<EngineKey>> awaited;
         Millis deadline;
     };
     struct TrackedEngine
     {
-        ReadingBook tracker;
+        PrefillTracker tracker;
         Millis usedAt;
     };
 
-    ReadingBook &trackerOf(EngineKey engine);
+    PrefillTracker &trackerOf(EngineKey engine);
     void send(const PeerAddress &to, const PrefillMessage &message);
     void finishEntry(Entry &entry, bool wasPrefilled);
     void complete(std::uint64_t number);
@@ -120,7 +120,7 @@
     void handle(const PeerAddress &from, const PrefillQuery &query);
     void handle(const PeerAddress &from, const PrefillReply &reply);
     void handle(const PeerAddress &from, const PrefillStart &entry);
-    void handle(const PeerAddress &from, const BookEnd &end);
+    void handle(const PeerAddress &from, const PrefillEnd &end);
 
     std::string self_;
     PeerTransport transport_;
--- a/modules/readingbooks/exchange/BookExchange_test.cpp
+++ b/modules/readingbooks/exchange/PrefillExchange_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 #include "core/random/Random.h"
-#include "readingbooks/exchange/BookExchange.h"
+#include "readingbooks/exchange/PrefillExchange.h"
 
 #include <deque>
 #include <memory>
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr ReadingPace rate{50, 100};
+constexpr PrefillRate rate{50, 100};
 constexpr double allTokens = 1e9;
 constexpr EngineKey engines[] = {11, 22, 33, 44, 55, 66};
 
@@ -47,12 +47,12 @@
                 frames_.push_back({name(i), to, frame});
         };
         instances[name(i)] =
-            std::make_unique<BookExchange>(name(i), transport, Clock([this] { return now; }));
+            std::make_unique<PrefillExchange>(name(i), transport, Clock([this] { return now; }));
     }
 
     void setPeersOf(int self, int count)
     {
-        std::vector<KeeperCandidate> peers{{InstanceId(name(self)), {}}};
+        std::vector<OwnerCandidate> peers{{InstanceId(name(self)), {}}};
         for (int i = 0; i < count; ++i) {
             if (i != self)
                 peers.push_back({InstanceId(name(i)), name(i)});
@@ -67,7 +67,7 @@
             const Frame frame = frames_.front();
             frames_.pop_front();
             if (dead.count(frame.to) == 0)
-                instances[frame.to]->received(frame.from, frame.bytes);
+                instances[frame.to]->handleFrame(frame.from, frame.bytes);
         }
         now = now + span;
         for (auto &[name, instance] : instances) {
@@ -77,29 +77,29 @@
     }
 
     /** Queries all engines; returns the estimates that the querying instance got in time. */
-    BookExchange::Offers ask(int i, const PromptChain &chain)
+    PrefillExchange::Estimates ask(int i, const PromptChain &chain)
     {
-        BookExchange::Offers received;
+        PrefillExchange::Estimates received;
         int completions = 0;
-        instances[name(i)]->ask(chain, {std::begin(engines), std::end(engines)},
-                                [&](const BookExchange::Offers &estimates) {
-                                    received = estimates;
-                                    ++completions;
-                                });
+        instances[name(i)]->query(chain, {std::begin(engines), std::end(engines)},
+                                  [&](const PrefillExchange::Estimates &estimates) {
+                                      received = estimates;
+                                      ++completions;
+                                  });
         for (int step = 0; step < 10; ++step)
             advance(Millis(5));
         CHECK(completions == 1);
         return received;
     }
 
-    BookExchange &at(int i) { return *instances[name(i)]; }
+    PrefillExchange &at(int i) { return *instances[name(i)]; }
     static std::string name(int i) { return "10.0.0." + std::to_string(i + 1) + ":7000"; }
 
     Millis now = Millis(100000);
     std::set<std::string> dead;
     unsigned lossPercent = 0;
     unsigned duplicatePercent = 0;
-    std::map<std::string, std::unique_ptr<BookExchange>> instances;
+    std::map<std::string, std::unique_ptr<PrefillExchange>> instances;
 
 private:
     struct Frame
@@ -119,7 +119,7 @@
 TEST_CASE("what one instance sends to an engine is known to all instances")
 {
     Network network(5);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
+    auto entry = network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
     network.advance(Millis(1));
     for (int i = 0; i < 5; ++i) {
         CAPTURE(i);
@@ -128,7 +128,7 @@
         CHECK(estimates.at(33).freshTokens == doctest::Approx(2000));
         CHECK(estimates.at(22).freshTokens == doctest::Approx(12000));
     }
-    network.at(0).read(entry);
+    network.at(0).completePrefill(entry);
     CHECK_FALSE(entry.isSet());
 }
 
@@ -138,8 +138,8 @@
     Network network(8);
     std::set<PeerAddress> owners;
     for (std::uint64_t engine = 1; engine <= 100; ++engine) {
-        auto entry = network.at(0).enter(chainOf(1, 2), engine, allTokens, rate);
-        auto same = network.at(1).enter(chainOf(3, 4), engine, allTokens, rate);
+        auto entry = network.at(0).announcePrefill(chainOf(1, 2), engine, allTokens, rate);
+        auto same = network.at(1).announcePrefill(chainOf(3, 4), engine, allTokens, rate);
         const PeerAddress one = entry.owner.empty() ? Network::name(0) : entry.owner;
         const PeerAddress other = same.owner.empty() ? Network::name(1) : same.owner;
         CHECK(one == other);
@@ -153,7 +153,7 @@
 TEST_CASE("an owner that does not reply is excluded, and another one takes over its engines")
 {
     Network network(4);
-    const auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
+    const auto entry = network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     const int querier = owner == Network::name(1) ? 2 : 1;
     network.dead.insert(owner);
@@ -164,20 +164,20 @@
     const auto estimates = network.ask(querier, chainOf(5, 6));
     CHECK(estimates.size() == std::size(engines));
     CHECK(network.at(querier).stats().unanswered == unanswered);
-    auto next = network.at(querier).enter(chainOf(5, 6), 33, allTokens, rate);
+    auto next = network.at(querier).announcePrefill(chainOf(5, 6), 33, allTokens, rate);
     CHECK(next.owner != owner);
     // Once it replies again, it owns its engines again.
     network.dead.clear();
     network.advance(OwnerRanking::exclusionPeriod);
     CHECK(network.ask(querier, chainOf(5, 6)).size() == std::size(engines));
-    CHECK(network.at(querier).enter(chainOf(7, 8), 33, allTokens, rate).owner == owner);
+    CHECK(network.at(querier).announcePrefill(chainOf(7, 8), 33, allTokens, rate).owner == owner);
 }
 
 // Guards against messages for entries from before a restart that corrupt the new state.
 TEST_CASE("a restarted instance starts its trackers empty")
 {
     Network network(3);
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
+    auto entry = network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     network.advance(Millis(1));
     for (int i = 0; i < 3; ++i) {
@@ -191,7 +191,7 @@
     CHECK(estimates.at(33).waitMillis == doctest::Approx(0));
     CHECK_FALSE(estimates.at(33).knowsParts);
     // The end of an entry that the new incarnation never had changes nothing.
-    network.at(0).read(entry);
+    network.at(0).completePrefill(entry);
     network.advance(Millis(1));
     CHECK(network.ask(1, chainOf(1, 9)).at(33).waitMillis == doctest::Approx(0));
 }
@@ -205,7 +205,7 @@
     network.advance(Millis(1000));
     std::vector<Millis> queriedAt;
     for (int i = 0; i < 3; ++i) {
-        network.at(i).hadReadNothing = [&queriedAt](EngineKey engine, Millis at) {
+        network.at(i).wasUnusedAt = [&queriedAt](EngineKey engine, Millis at) {
             queriedAt.push_back(at);
             return engine != 22;
         };
@@ -217,7 +217,7 @@
     CHECK(std::all_of(queriedAt.begin(), queriedAt.end(),
                       [start](Millis at) { return at == start; }));
     // One owner is dead: the instance that takes over its engines lacks what was announced to it.
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
+    auto entry = network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
     const PeerAddress owner = entry.owner.empty() ? Network::name(0) : entry.owner;
     const int querier = owner == Network::name(1) ? 2 : 1;
     network.dead.insert(owner);
@@ -230,11 +230,11 @@
 TEST_CASE("a restarted engine holds none of the parts announced before")
 {
     Network network(1);
-    network.at(0).hadReadNothing = [](EngineKey, Millis) { return true; };
-    auto entry = network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
-    network.at(0).read(entry);
+    network.at(0).wasUnusedAt = [](EngineKey, Millis) { return true; };
+    auto entry = network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
+    network.at(0).completePrefill(entry);
     CHECK(network.ask(0, chainOf(1, 9)).at(33).freshTokens == doctest::Approx(2000));
-    network.at(0).forget(33);
+    network.at(0).removeEngine(33);
     CHECK(network.ask(0, chainOf(1, 9)).at(33).freshTokens == doctest::Approx(12000));
 }
 
@@ -246,18 +246,18 @@
     network.lossPercent = 30;
     network.duplicatePercent = 20;
     const RandomHook random = seededRandom(9);
-    std::vector<BookExchange::Entry> open;
+    std::vector<PrefillExchange::Entry> open;
     for (int round = 0; round < 300; ++round) {
         const int instance = static_cast<int>(random() % 6);
         network.ask(instance, chainOf(random() % 5, random()));
-        open.push_back(network.at(instance).enter(chainOf(random() % 5, random()),
-                                                  engines[random() % 6], allTokens, rate));
+        open.push_back(network.at(instance).announcePrefill(
+            chainOf(random() % 5, random()), engines[random() % 6], allTokens, rate));
         if (random() % 2 == 0)
-            network.at(instance).read(open.back());
+            network.at(instance).completePrefill(open.back());
     }
     network.lossPercent = 0;
     network.duplicatePercent = 0;
-    network.advance(ReadingBook::maxPrefillDuration + Millis(1));
+    network.advance(PrefillTracker::maxPrefillDuration + Millis(1));
     network.advance(OwnerRanking::exclusionPeriod);
     const auto estimates = network.ask(0, chainOf(1, 2));
     CHECK(estimates.size() == std::size(engines));
@@ -272,18 +272,20 @@
     int completions = 0;
     const std::string other = Network::name(1);
     network.dead.insert(other);
-    network.at(0).ask(chainOf(1, 2), {std::begin(engines), std::end(engines)},
-                      [&](const BookExchange::Offers &) { ++completions; });
-    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{1, {}})));
-    CHECK(network.at(0).received("10.9.9.9:1",
-                                 encodeBookMessage(PrefillReply{1, {{1, 1, 0, true}}})));
-    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{77, {{1, 1, 0, true}}})));
+    network.at(0).query(chainOf(1, 2), {std::begin(engines), std::end(engines)},
+                        [&](const PrefillExchange::Estimates &) { ++completions; });
+    CHECK(network.at(0).handleFrame(other, encodePrefillMessage(PrefillReply{1, {}})));
+    CHECK(network.at(0).handleFrame("10.9.9.9:1",
+                                    encodePrefillMessage(PrefillReply{1, {{1, 1, 0, true}}})));
+    CHECK(network.at(0).handleFrame(other,
+                                    encodePrefillMessage(PrefillReply{77, {{1, 1, 0, true}}})));
     CHECK(completions == 0);
-    network.advance(BookExchange::replyTimeout);
+    network.advance(PrefillExchange::replyTimeout);
     CHECK(completions == 1);
-    CHECK(network.at(0).received(other, encodeBookMessage(PrefillReply{1, {{1, 1, 0, true}}})));
+    CHECK(
+        network.at(0).handleFrame(other, encodePrefillMessage(PrefillReply{1, {{1, 1, 0, true}}})));
     CHECK(completions == 1);
-    CHECK_FALSE(network.at(0).received(other, "nonsense"));
+    CHECK_FALSE(network.at(0).handleFrame(other, "nonsense"));
     CHECK(network.at(0).stats().framesRefused == 1);
 }
 
@@ -291,9 +293,9 @@
 TEST_CASE("idle trackers are dropped")
 {
     Network network(1);
-    network.at(0).enter(chainOf(1, 2), 33, allTokens, rate);
+    network.at(0).announcePrefill(chainOf(1, 2), 33, allTokens, rate);
     CHECK(network.at(0).trackerCount() == 1);
-    network.advance(BookExchange::trackerIdleTimeout + Millis(1));
+    network.advance(PrefillExchange::trackerIdleTimeout + Millis(1));
     network.advance(Millis(1));
     CHECK(network.at(0).trackerCount() == 0);
 }
--- a/modules/readingbooks/messages/BookMessages.cpp
+++ b/modules/readingbooks/messages/PrefillMessages.cpp
@@ -1,4 +1,4 @@
-#include "readingbooks/messages/BookMessages.h"
+#include "readingbooks/messages/PrefillMessages.h"
 
 #include "membership/messages/CborArray.h"
 
@@ -78,7 +78,7 @@
                         whole(start.rate.fixedMillis, maxMillis)});
 }
 
-json encode(const BookEnd &end)
+json encode(const PrefillEnd &end)
 {
     return json::array({Tag::End, end.number, end.engine, end.wasPrefilled});
 }
@@ -127,9 +127,9 @@
     return start;
 }
 
-BookEnd decodeEnd(CborArray &message)
+PrefillEnd decodeEnd(CborArray &message)
 {
-    BookEnd end;
+    PrefillEnd end;
     end.number = message.number();
     end.engine = message.number();
     end.wasPrefilled = message.boolean();
@@ -153,12 +153,12 @@
 
 } // namespace
 
-std::string encodeBookMessage(const PrefillMessage &message)
+std::string encodePrefillMessage(const PrefillMessage &message)
 {
     return encodeCbor(std::visit([](const auto &each) { return encode(each); }, message));
 }
 
-std::optional<PrefillMessage> decodeBookMessage(const std::string &frame)
+std::optional<PrefillMessage> decodePrefillMessage(const std::string &frame)
 {
     return decodeFrame(frame, decodeMessage);
 }
--- a/modules/readingbooks/messages/BookMessages.h
+++ b/modules/readingbooks/messages/PrefillMessages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "dataplane/fleet/UpstreamDirectory.h"
-#include "readingbooks/book/ReadingBook.h"
+#include "readingbooks/tracker/PrefillTracker.h"
 
 #include <cstdint>
 #include <optional>
@@ -46,18 +46,18 @@
     PromptChain chain;
     /** Estimated number of tokens that the engine will prefill. */
     double freshTokens = 0;
-    ReadingPace rate;
+    PrefillRate rate;
 };
 
 /** Announces that a prompt was prefilled, or will not be. */
-struct BookEnd
+struct PrefillEnd
 {
     std::uint64_t number = 0;
     EngineKey engine = 0;
     bool wasPrefilled = false;
 };
 
-using PrefillMessage = std::variant<PrefillQuery, PrefillReply, PrefillStart, BookEnd>;
+using PrefillMessage = std::variant<PrefillQuery, PrefillReply, PrefillStart, PrefillEnd>;
 
 /** Upper bounds of message fields; of a longer prompt only the first parts are sent. */
 struct PrefillMessageLimits
@@ -67,8 +67,8 @@
 };
 
 /** Encodes a message as a frame for another instance. */
-std::string encodeBookMessage(const PrefillMessage &message);
+std::string encodePrefillMessage(const PrefillMessage &message);
 /** Returns nothing unless the frame is a complete message of a known format within bounds. */
-std::optional<PrefillMessage> decodeBookMessage(const std::string &frame);
+std::optional<PrefillMessage> decodePrefillMessage(const std::string &frame);
 
 } // namespace cuminrail
--- a/modules/readingbooks/messages/BookMessages_test.cpp
+++ b/modules/readingbooks/messages/PrefillMessages_test.cpp
@@ -2,7 +2,7 @@
 
 #include "core/random/Random.h"
 #include "membership/messages/CborArray.h"
-#include "readingbooks/messages/BookMessages.h"
+#include "readingbooks/messages/PrefillMessages.h"
 
 using namespace cuminrail;
 
@@ -20,17 +20,17 @@
 std::vector<std::string> samples()
 {
     return {
-        encodeBookMessage(PrefillQuery{7, someChain(3), {1, 2, 0xffffffffffffffffULL}}),
-        encodeBookMessage(PrefillReply{7, {{120, 3000, 13300, true}, {0, 17020, 0, false}}}),
-        encodeBookMessage(PrefillStart{8, 99, someChain(2), 3000, {61.25, 131}}),
-        encodeBookMessage(BookEnd{8, 99, true}),
+        encodePrefillMessage(PrefillQuery{7, someChain(3), {1, 2, 0xffffffffffffffffULL}}),
+        encodePrefillMessage(PrefillReply{7, {{120, 3000, 13300, true}, {0, 17020, 0, false}}}),
+        encodePrefillMessage(PrefillStart{8, 99, someChain(2), 3000, {61.25, 131}}),
+        encodePrefillMessage(PrefillEnd{8, 99, true}),
     };
 }
 
 template<typename Message>
 Message decoded(const PrefillMessage &message)
 {
-    const auto back = decodeBookMessage(encodeBookMessage(message));
+    const auto back = decodePrefillMessage(encodePrefillMessage(message));
     REQUIRE(back);
     REQUIRE(std::holds_alternative<Message>(*back));
     return std::get<Message>(*back);
@@ -57,7 +57,7 @@
     CHECK(start.freshTokens == doctest::Approx(3000));
     CHECK(start.rate.tokensPerMilli == doctest::Approx(61.25));
     CHECK(start.rate.fixedMillis == doctest::Approx(131));
-    const auto end = decoded<BookEnd>(BookEnd{8, 99, true});
+    const auto end = decoded<PrefillEnd>(PrefillEnd{8, 99, true});
     CHECK(end.wasPrefilled);
 }
 
@@ -86,12 +86,12 @@
     };
     for (const auto &row : rows) {
         CAPTURE(std::string(row.first));
-        CHECK_FALSE(decodeBookMessage(encodeCbor(row.second)));
+        CHECK_FALSE(decodePrefillMessage(encodeCbor(row.second)));
     }
     json many = json::array();
     for (std::uint64_t i = 0; i <= PrefillMessageLimits::engines; ++i)
         many.push_back(i);
-    CHECK_FALSE(decodeBookMessage(encodeCbor(json::array({0x11, 7, 100, json::array(), many}))));
+    CHECK_FALSE(decodePrefillMessage(encodeCbor(json::array({0x11, 7, 100, json::array(), many}))));
 }
 
 // Guards against arbitrary bytes: from a peer of another build, or from corruption that passed all
@@ -116,7 +116,7 @@
                 frame.insert(place, 1, static_cast<char>(random()));
             }
         }
-        const auto message = decodeBookMessage(frame);
+        const auto message = decodePrefillMessage(frame);
         if (!message || !std::holds_alternative<PrefillQuery>(*message))
             continue;
         CHECK(std::get<PrefillQuery>(*message).engines.size() <= PrefillMessageLimits::engines);
--- a/modules/readingbooks/readingbooks.h
+++ b/modules/readingbooks/readingbooks.h
@@ -11,6 +11,6 @@
     Depends on core, ports, keepers, membership (bounds and encoding of frames), dataplane.
 */
 
-#include "readingbooks/book/ReadingBook.h"
-#include "readingbooks/exchange/BookExchange.h"
-#include "readingbooks/messages/BookMessages.h"
+#include "readingbooks/exchange/PrefillExchange.h"
+#include "readingbooks/messages/PrefillMessages.h"
+#include "readingbooks/tracker/PrefillTracker.h"
--- a/modules/readingbooks/book/ReadingBook.cpp
+++ b/modules/readingbooks/tracker/PrefillTracker.cpp
@@ -1,4 +1,4 @@
-#include "readingbooks/book/ReadingBook.h"
+#include "readingbooks/tracker/PrefillTracker.h"
 
 #include <algorithm>
 
@@ -16,7 +16,7 @@
 
 } // namespace
 
-ReadingOffer ReadingBook::offer(const PromptChain &chain, Millis now) const
+ReadingOffer PrefillTracker::estimate(const PromptChain &chain, Millis now) const
 {
     ReadingOffer estimate;
     estimate.waitMillis = waitMillis(now);
@@ -27,8 +27,8 @@
     return estimate;
 }
 
-void ReadingBook::enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
-                        const ReadingPace &rate, Millis now)
+void PrefillTracker::add(const PrefillId &id, const PromptChain &chain, double freshTokens,
+                         const PrefillRate &rate, Millis now)
 {
     expireOld(now);
     // An entry duplicated in transit would otherwise count twice, but be cancelled only once.
@@ -45,7 +45,7 @@
     prefills_[id] = Prefill{millis, freeAt_, rate.fixedMillis, now, chain};
 }
 
-void ReadingBook::read(const ReadingTicket &id, Millis now)
+void PrefillTracker::complete(const PrefillId &id, Millis now)
 {
     const auto found = prefills_.find(id);
     if (found == prefills_.end())
@@ -61,7 +61,7 @@
         pending.endsAt += shift;
 }
 
-void ReadingBook::takeBack(const ReadingTicket &id, Millis now)
+void PrefillTracker::cancel(const PrefillId &id, Millis now)
 {
     const auto found = prefills_.find(id);
     if (found == prefills_.end())
@@ -76,7 +76,7 @@
     }
 }
 
-double ReadingBook::waitMillis(Millis now) const
+double PrefillTracker::waitMillis(Millis now) const
 {
     double maxLateness = 0;
     bool isAnyPending = false;
@@ -89,12 +89,12 @@
     return isAnyPending ? std::max(0.0, freeAt_ - asNumber(now)) + maxLateness : 0;
 }
 
-bool ReadingBook::isExpired(const Prefill &prefill, Millis now)
+bool PrefillTracker::isExpired(const Prefill &prefill, Millis now)
 {
     return now - prefill.announcedAt > maxPrefillDuration;
 }
 
-void ReadingBook::expireOld(Millis now)
+void PrefillTracker::expireOld(Millis now)
 {
     for (auto it = prefills_.begin(); it != prefills_.end();)
         it = isExpired(it->second, now) ? prefills_.erase(it) : std::next(it);
--- a/modules/readingbooks/book/ReadingBook.h
+++ b/modules/readingbooks/tracker/PrefillTracker.h
@@ -13,19 +13,19 @@
 namespace cuminrail {
 
 /** Identifies one prefill: the instance that announced it, and that instance's number for it. */
-struct ReadingTicket
+struct PrefillId
 {
     std::string instance;
     std::uint64_t number = 0;
 
-    bool operator<(const ReadingTicket &other) const
+    bool operator<(const PrefillId &other) const
     {
         return std::tie(instance, number) < std::tie(other.instance, other.number);
     }
 };
 
 /** Prefill rate of engines of one kind, as estimated by an instance. */
-struct ReadingPace
+struct PrefillRate
 {
     double tokensPerMilli = 1;
     /** Time until the first response that does not depend on the prompt. */
@@ -45,7 +45,7 @@
     response also shows that everything announced before was prefilled, so a lost message about one
     of those does no harm.
 */
-class ReadingBook
+class PrefillTracker
 {
 public:
     /** Entries that nobody ended expire after the longest time-out in use. */
@@ -54,21 +54,21 @@
     static constexpr Millis warmUpPeriod = Millis::seconds(10);
 
     /** @param isComplete  the engine has not prefilled any prompt yet */
-    explicit ReadingBook(bool isComplete = false) : isComplete_(isComplete) { }
+    explicit PrefillTracker(bool isComplete = false) : isComplete_(isComplete) { }
 
     /** Returns the estimate for a prompt that is sent to the engine now. */
-    ReadingOffer offer(const PromptChain &chain, Millis now) const;
+    ReadingOffer estimate(const PromptChain &chain, Millis now) const;
     /**
         Adds a prefill that is being sent to the engine; an id that is already known has no effect.
         The engine prefills @c freshTokens at most, as the sender may have it fetch a part from
         another engine.
     */
-    void enter(const ReadingTicket &id, const PromptChain &chain, double freshTokens,
-               const ReadingPace &rate, Millis now);
+    void add(const PrefillId &id, const PromptChain &chain, double freshTokens,
+             const PrefillRate &rate, Millis now);
     /** The prompt was prefilled, and its response arrived now. */
-    void read(const ReadingTicket &id, Millis now);
+    void complete(const PrefillId &id, Millis now);
     /** The prefill did not take place, or was aborted. */
-    void takeBack(const ReadingTicket &id, Millis now);
+    void cancel(const PrefillId &id, Millis now);
 
 private:
     struct Prefill
@@ -86,7 +86,7 @@
     double waitMillis(Millis now) const;
     static bool isExpired(const Prefill &prefill, Millis now);
 
-    std::map<ReadingTicket, Prefill> prefills_;
+    std::map<PrefillId, Prefill> prefills_;
     /** Parts of prompts that were sent there, and of these the ones that have been prefilled. */
     RememberedParts sentParts_;
     RememberedParts prefilledParts_;
--- a/modules/upstreamlimits/exchange/LimitExchange.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 /** Returns the customer name under which an upstream's limit is enforced as a quota. */
-std::string quotaName(UpstreamLife incarnation)
+std::string quotaName(UpstreamIncarnation incarnation)
 {
     return std::to_string(incarnation);
 }
 
-OwnershipKey keyOf(UpstreamLife incarnation)
+OwnershipKey keyOf(UpstreamIncarnation incarnation)
 {
     return StableHash().add(quotaName(incarnation)).value();
 }
 
-UpstreamLife incarnationOf(const std::string &quotaName)
+UpstreamIncarnation incarnationOf(const std::string &quotaName)
 {
-    UpstreamLife incarnation = 0;
+    UpstreamIncarnation incarnation = 0;
     std::from_chars(quotaName.data(), quotaName.data() + quotaName.size(), incarnation);
     return incarnation;
 }
@@ -40,14 +40,15 @@
               std::move(clock))
 { }
 
-void LimitExchange::setPeers(const std::vector<KeeperCandidate> &peers)
+void LimitExchange::setPeers(const std::vector<OwnerCandidate> &peers)
 {
     peers_.setPeers(peers);
     owners_.setPeers(peers);
     quotas_.setPeers(peers);
 }
 
-LimitChange LimitExchange::heard(UpstreamLife incarnation, std::optional<double> perSecond)
+LimitChange LimitExchange::updateLimit(UpstreamIncarnation incarnation,
+                                       std::optional<double> perSecond)
 {
     const StatedLimit stated{incarnation, perSecond, clock_.now()};
     const LimitChange change = applyLimit(stated);
@@ -72,7 +73,7 @@
     return change;
 }
 
-void LimitExchange::dropCredit(UpstreamLife incarnation)
+void LimitExchange::dropCredit(UpstreamIncarnation incarnation)
 {
     const auto found = credits_.find(incarnation);
     if (found == credits_.end())
@@ -91,7 +92,7 @@
     quotas_.setQuotas(std::move(quotas));
 }
 
-bool LimitExchange::mayUse(UpstreamLife incarnation) const
+bool LimitExchange::mayUse(UpstreamIncarnation incarnation) const
 {
     if (!table_.limit(incarnation))
         return true;
@@ -100,7 +101,7 @@
         && clock_.now() < found->second.expiresAt;
 }
 
-std::optional<Millis> LimitExchange::roomAfter(UpstreamLife incarnation) const
+std::optional<Millis> LimitExchange::retryDelay(UpstreamIncarnation incarnation) const
 {
     const auto found = credits_.find(incarnation);
     if (!table_.limit(incarnation) || found == credits_.end())
@@ -111,24 +112,24 @@
     return isRefused ? std::optional<Millis>(credit.expiresAt - now) : std::nullopt;
 }
 
-void LimitExchange::askAhead(const std::vector<UpstreamLife> &incarnations)
+void LimitExchange::prefetchCredits(const std::vector<UpstreamIncarnation> &incarnations)
 {
     int remaining = maxPrefetched;
-    for (const UpstreamLife incarnation : incarnations) {
+    for (const UpstreamIncarnation incarnation : incarnations) {
         if (remaining == 0)
             return;
         if (mayUse(incarnation) || isExhausted(incarnation) || credits_[incarnation].isRequested)
             continue;
         --remaining;
-        ask(incarnation, [](const CreditAnswer &) {});
+        acquire(incarnation, [](const CreditResult &) {});
     }
 }
 
-void LimitExchange::ask(UpstreamLife incarnation, Completion done)
+void LimitExchange::acquire(UpstreamIncarnation incarnation, Completion done)
 {
     if (mayUse(incarnation))
         return done({true, Millis(0)});
-    if (const auto room = roomAfter(incarnation))
+    if (const auto room = retryDelay(incarnation))
         return done({false, *room});
     Credit &credit = credits_[incarnation];
     credit.waiting.push_back(std::move(done));
@@ -136,17 +137,17 @@
         return;
     credit.isRequested = true;
     credit.isAvailable = false;
-    quotas_.giveBack(credit.grant);
-    quotas_.ask(quotaName(incarnation), 1, [this, incarnation](const QuotaVerdict &outcome) {
+    quotas_.release(credit.grant);
+    quotas_.acquire(quotaName(incarnation), 1, [this, incarnation](const QuotaOutcome &outcome) {
         handleOutcome(incarnation, outcome);
     });
 }
 
-void LimitExchange::handleOutcome(UpstreamLife incarnation, const QuotaVerdict &outcome)
+void LimitExchange::handleOutcome(UpstreamIncarnation incarnation, const QuotaOutcome &outcome)
 {
     Credit &credit = credits_[incarnation];
     const bool isGranted = outcome.result == QuotaResult::Granted;
-    const Millis pause = outcome.comeBackAfter.value_or(noReplyPause);
+    const Millis pause = outcome.retryAfter.value_or(noReplyPause);
     credit.isRequested = false;
     credit.isAvailable = isGranted;
     credit.grant = outcome.grant;
@@ -158,7 +159,7 @@
         done({isGranted, isGranted ? Millis(0) : pause});
 }
 
-void LimitExchange::use(UpstreamLife incarnation)
+void LimitExchange::use(UpstreamIncarnation incarnation)
 {
     if (!table_.limit(incarnation))
         return;
@@ -173,13 +174,13 @@
     found->second.expiresAt = Millis(0);
 }
 
-bool LimitExchange::received(const PeerAddress &from, const std::string &frame)
+bool LimitExchange::handleFrame(const PeerAddress &from, const std::string &frame)
 {
     const auto message = decodeLimitMessage(frame);
     if (!message)
         return false;
     if (const auto *quota = std::get_if<LimitQuotaFrame>(&*message)) {
-        quotas_.received(from, quota->frame);
+        quotas_.handleFrame(from, quota->frame);
         return true;
     }
     const auto &announcement = std::get<LimitAnnouncement>(*message);
@@ -211,7 +212,7 @@
 void LimitExchange::announce()
 {
     LimitAnnouncement announcement;
-    for (const UpstreamLife incarnation : std::exchange(pendingAnnouncements_, {})) {
+    for (const UpstreamIncarnation incarnation : std::exchange(pendingAnnouncements_, {})) {
         const StatedLimit *stated = table_.find(incarnation);
         if (stated != nullptr && announcement.limits.size() < LimitMessageLimits::limits)
             announcement.limits.push_back(toAnnounced(*stated));
@@ -246,15 +247,15 @@
         }
         if (credit.isAvailable && guardEnabled(Guard::LimitCreditReturned)) {
             ++stats_.givenBack;
-            quotas_.giveBack(credit.grant);
+            quotas_.release(credit.grant);
         }
         it = credits_.erase(it);
     }
 }
 
-void LimitExchange::dropQuestions()
+void LimitExchange::dropPendingQueries()
 {
-    quotas_.dropQuestions();
+    quotas_.dropPendingQueries();
     credits_.clear();
 }
 
--- a/modules/upstreamlimits/exchange/LimitExchange.h
+++ b/modules/upstreamlimits/exchange/LimitExchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/random/Random.h"
-#include "keepers/roster/PeerRoster.h"
+#include "keepers/directory/PeerDirectory.h"
 #include "quotas/quotas.h"
 #include "upstreamlimits/messages/LimitMessages.h"
 #include "upstreamlimits/table/LimitTable.h"
@@ -26,11 +26,11 @@
 };
 
 /** How a request for a credit ended. */
-struct CreditAnswer
+struct CreditResult
 {
     bool isGranted = false;
     /** Set if refused: after which time the upstream may accept a request. */
-    Millis comeBackAfter;
+    Millis retryAfter;
 };
 
 /**
@@ -59,7 +59,7 @@
     /** Interval at which known limits are sent to one other instance. */
     static constexpr Millis antiEntropyInterval = Millis(1000);
 
-    using Completion = std::function<void(const CreditAnswer &answer)>;
+    using Completion = std::function<void(const CreditResult &answer)>;
 
     LimitExchange(QuotaTolerance tolerance, PeerTransport transport, Clock clock,
                   RandomHook random);
@@ -74,37 +74,40 @@
     }
 
     /** There are no other instances to query. */
-    void setAlone() { quotas_.setAlone(); }
+    void setStandalone() { quotas_.setStandalone(); }
     /** All instances, this one first, each other one with the address on which it accepts links. */
-    void setPeers(const std::vector<KeeperCandidate> &peers);
+    void setPeers(const std::vector<OwnerCandidate> &peers);
     /** Share of all instances, 0 to 1, to which this one has a link. */
-    void setReach(double share) { quotas_.setReach(share); }
+    void setReachableShare(double share) { quotas_.setReachableShare(share); }
 
     /** A response of the upstream stated a limit, or none. Returns how it differs from before. */
-    LimitChange heard(UpstreamLife incarnation, std::optional<double> perSecond);
+    LimitChange updateLimit(UpstreamIncarnation incarnation, std::optional<double> perSecond);
     /** Whether any upstream is limited; if none is, no credits are needed. */
     bool hasLimits() const { return table_.hasLimits(); }
     /** Whether a request may be sent there now: it is not limited, or a credit is available. */
-    bool mayUse(UpstreamLife incarnation) const;
+    bool mayUse(UpstreamIncarnation incarnation) const;
     /**
         Returns after which time a limited upstream whose credit was refused recently may accept a
         request; nothing for any other upstream.
     */
-    std::optional<Millis> roomAfter(UpstreamLife incarnation) const;
-    bool isExhausted(UpstreamLife incarnation) const { return roomAfter(incarnation).has_value(); }
+    std::optional<Millis> retryDelay(UpstreamIncarnation incarnation) const;
+    bool isExhausted(UpstreamIncarnation incarnation) const
+    {
+        return retryDelay(incarnation).has_value();
+    }
     /** Requests credits of up to maxPrefetched of these upstreams, for later requests. */
-    void askAhead(const std::vector<UpstreamLife> &incarnations);
+    void prefetchCredits(const std::vector<UpstreamIncarnation> &incarnations);
     /** Requests a credit. The completion is called once, possibly before this returns. */
-    void ask(UpstreamLife incarnation, Completion done);
+    void acquire(UpstreamIncarnation incarnation, Completion done);
     /** A request is sent there now; uses the credit, if there is one. */
-    void use(UpstreamLife incarnation);
+    void use(UpstreamIncarnation incarnation);
 
     /** Handles a frame from another instance. Returns false if it is not a limit message. */
-    bool received(const PeerAddress &from, const std::string &frame);
+    bool handleFrame(const PeerAddress &from, const std::string &frame);
     /** Performs due work; to be called every few milliseconds. */
     void tick();
     /** Drops pending requests without calling their completions; for the end of the process. */
-    void dropQuestions();
+    void dropPendingQueries();
 
     const LimitStats &stats() const { return stats_; }
     const LimitTable &table() const { return table_; }
@@ -123,8 +126,8 @@
     LimitChange applyLimit(const StatedLimit &stated);
     void setQuotas();
     /** The limit ended: completes all waiting requests with a grant. */
-    void dropCredit(UpstreamLife incarnation);
-    void handleOutcome(UpstreamLife incarnation, const QuotaVerdict &outcome);
+    void dropCredit(UpstreamIncarnation incarnation);
+    void handleOutcome(UpstreamIncarnation incarnation, const QuotaOutcome &outcome);
     void releaseUnused(Millis now);
     void announce();
     /** Sends known limits to one random peer, as it may have started recently and know none. */
@@ -140,8 +143,8 @@
     OwnerRanking owners_;
     PeerDirectory peers_;
     QuotaExchange quotas_;
-    std::unordered_map<UpstreamLife, Credit> credits_;
-    std::set<UpstreamLife> pendingAnnouncements_;
+    std::unordered_map<UpstreamIncarnation, Credit> credits_;
+    std::set<UpstreamIncarnation> pendingAnnouncements_;
     Millis expireAt_;
     Millis antiEntropyAt_;
     LimitStats stats_;
--- a/modules/upstreamlimits/exchange/LimitExchange_test.cpp
+++ b/modules/upstreamlimits/exchange/LimitExchange_test.cpp
@@ -157,7 +157,7 @@
 TEST_CASE("a limit received by one instance is announced to all within 50 ms")
 {
     LimitCluster cluster(100, {1.0, {}}, 1);
-    cluster.at(3).heard(0, 1.0);
+    cluster.at(3).updateLimit(0, 1.0);
     cluster.advance(Millis(50));
     for (int i = 0; i < cluster.count(); ++i)
         CHECK(cluster.at(i).hasLimits());
@@ -168,11 +168,11 @@
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
-        cluster.at(i).heard(0, 1.0);
+        cluster.at(i).updateLimit(0, 1.0);
     cluster.advance(Millis(50));
     std::uint64_t returned = 0;
     for (int i = 0; i < 10; ++i) {
-        cluster.at(i % 5).askAhead({0});
+        cluster.at(i % 5).prefetchCredits({0});
         cluster.advance(Millis(1000));
     }
     for (int i = 0; i < cluster.count(); ++i)
@@ -180,7 +180,7 @@
     CHECK(returned >= 5);
     bool isGranted = false;
     for (int i = 0; i < 5 && !isGranted; ++i) {
-        cluster.at(5).ask(0, [&](const CreditAnswer &answer) { isGranted = answer.isGranted; });
+        cluster.at(5).acquire(0, [&](const CreditResult &answer) { isGranted = answer.isGranted; });
         cluster.advance(Millis(100));
     }
     CHECK(isGranted);
@@ -191,12 +191,12 @@
 {
     LimitCluster cluster(6, {1.0, {}}, 1);
     for (int i = 0; i < cluster.count(); ++i)
-        cluster.at(i).heard(0, 1.0);
+        cluster.at(i).updateLimit(0, 1.0);
     cluster.advance(Millis(50));
     int answered = 0;
     for (int i = 0; i < cluster.count(); ++i) {
-        cluster.at(i).ask(0, [&](const CreditAnswer &) { ++answered; });
-        cluster.at(i).heard(0, std::nullopt);
+        cluster.at(i).acquire(0, [&](const CreditResult &) { ++answered; });
+        cluster.at(i).updateLimit(0, std::nullopt);
     }
     cluster.advance(Millis(100));
     CHECK(answered == cluster.count());
@@ -206,13 +206,13 @@
 TEST_CASE("an owner that did not receive a limit learns it with the query and keeps to it")
 {
     LimitCluster cluster(6, {{}, {}, {}, {}, {}, {}}, 1);
-    for (UpstreamLife incarnation = 0; incarnation < 6; ++incarnation) {
+    for (UpstreamIncarnation incarnation = 0; incarnation < 6; ++incarnation) {
         CAPTURE(incarnation);
-        cluster.at(0).received(
+        cluster.at(0).handleFrame(
             "i-1", encodeLimitMessage(LimitAnnouncement{false, {{incarnation, 1.0, {}}}}));
         int granted = 0;
         for (int i = 0; i < 20; ++i) {
-            cluster.at(0).ask(incarnation, [&](const CreditAnswer &answer) {
+            cluster.at(0).acquire(incarnation, [&](const CreditResult &answer) {
                 granted += answer.isGranted ? 1 : 0;
                 cluster.at(0).use(incarnation);
             });
--- a/modules/upstreamlimits/messages/LimitMessages.h
+++ b/modules/upstreamlimits/messages/LimitMessages.h
@@ -14,7 +14,7 @@
 /** A statement of an upstream, with its age. */
 struct AnnouncedLimit
 {
-    UpstreamLife incarnation = 0;
+    UpstreamIncarnation incarnation = 0;
     /** Requests a second; nothing if it is not limited. */
     std::optional<double> perSecond;
     Millis age;
--- a/modules/upstreamlimits/table/LimitTable.cpp
+++ b/modules/upstreamlimits/table/LimitTable.cpp
@@ -24,13 +24,13 @@
     return isMarked ? LimitChange::Marked : LimitChange::Slight;
 }
 
-const StatedLimit *LimitTable::find(UpstreamLife incarnation) const
+const StatedLimit *LimitTable::find(UpstreamIncarnation incarnation) const
 {
     const auto found = limits_.find(incarnation);
     return found == limits_.end() ? nullptr : &found->second;
 }
 
-std::optional<double> LimitTable::limit(UpstreamLife incarnation) const
+std::optional<double> LimitTable::limit(UpstreamIncarnation incarnation) const
 {
     const StatedLimit *stated = find(incarnation);
     return stated == nullptr ? std::nullopt : stated->perSecond;
--- a/modules/upstreamlimits/table/LimitTable.h
+++ b/modules/upstreamlimits/table/LimitTable.h
@@ -12,7 +12,7 @@
 /** The request rate that an upstream stated to accept. */
 struct StatedLimit
 {
-    UpstreamLife incarnation = 0;
+    UpstreamIncarnation incarnation = 0;
     /** Requests a second from all instances together; nothing if it is not limited. */
     std::optional<double> perSecond;
     /** When the statement was received, by this machine's clock. */
@@ -46,17 +46,17 @@
     /** Stores a statement, unless a newer one of the same upstream is known. */
     LimitChange update(const StatedLimit &stated);
     /** Returns the upstream's latest statement, or null. */
-    const StatedLimit *find(UpstreamLife incarnation) const;
+    const StatedLimit *find(UpstreamIncarnation incarnation) const;
     /** Returns the requests a second that an upstream accepts, or nothing if it is not limited. */
-    std::optional<double> limit(UpstreamLife incarnation) const;
+    std::optional<double> limit(UpstreamIncarnation incarnation) const;
     bool hasLimits() const { return limited_ > 0; }
-    std::size_t limited() const { return limited_; }
+    std::size_t limitedCount() const { return limited_; }
     std::vector<StatedLimit> all() const;
     /** Removes expired statements. Returns true if one of them was a limit. */
     bool expire(Millis now);
 
 private:
-    std::unordered_map<UpstreamLife, StatedLimit> limits_;
+    std::unordered_map<UpstreamIncarnation, StatedLimit> limits_;
     std::size_t limited_ = 0;
 };
 
--- a/modules/upstreamlimits/table/LimitTable_test.cpp
+++ b/modules/upstreamlimits/table/LimitTable_test.cpp
@@ -40,14 +40,15 @@
     CHECK(table.expire(LimitTable::retention));
     CHECK_FALSE(table.limit(7));
     CHECK(table.limit(8) == 1.0);
-    CHECK(table.limited() == 1);
+    CHECK(table.limitedCount() == 1);
     CHECK(table.all().size() == 1);
 }
 
 TEST_CASE("the table holds no more than maxEntries upstreams")
 {
     LimitTable table;
-    for (UpstreamLife incarnation = 0; incarnation < LimitTable::maxEntries + 10; ++incarnation)
+    for (UpstreamIncarnation incarnation = 0; incarnation < LimitTable::maxEntries + 10;
+         ++incarnation)
         table.update({incarnation, 1.0, Millis(0)});
-    CHECK(table.limited() == LimitTable::maxEntries);
+    CHECK(table.limitedCount() == LimitTable::maxEntries);
 }
--- a/modules/upstreamlimits/testing/LimitCluster.h
+++ b/modules/upstreamlimits/testing/LimitCluster.h
@@ -67,7 +67,7 @@
         while (now < end) {
             now = now + step;
             deliver([this](int to, const PeerAddress &from, const std::string &frame) {
-                at(to).received(from, frame);
+                at(to).handleFrame(from, frame);
             });
             finishRuns();
             for (int i = 0; i < count(); ++i) {
@@ -129,24 +129,26 @@
 
     void place(int i, int rounds)
     {
-        std::vector<UpstreamLife> usable;
-        std::vector<UpstreamLife> limited;
-        for (UpstreamLife incarnation = 0; incarnation < limits_.size(); ++incarnation)
+        std::vector<UpstreamIncarnation> usable;
+        std::vector<UpstreamIncarnation> limited;
+        for (UpstreamIncarnation incarnation = 0; incarnation < limits_.size(); ++incarnation)
             (at(i).mayUse(incarnation) ? usable : limited).push_back(incarnation);
-        at(i).askAhead(limited);
+        at(i).prefetchCredits(limited);
         if (!usable.empty())
             return send(i, usable[static_cast<std::size_t>(pick(static_cast<int>(usable.size())))]);
         const auto candidate =
-            std::find_if(limited.begin(), limited.end(),
-                         [&](UpstreamLife incarnation) { return !at(i).isExhausted(incarnation); });
+            std::find_if(limited.begin(), limited.end(), [&](UpstreamIncarnation incarnation) {
+                return !at(i).isExhausted(incarnation);
+            });
         if (candidate == limited.end() || rounds == 0) {
             ++refused;
             return;
         }
-        at(i).ask(*candidate, [this, i, rounds](const CreditAnswer &) { place(i, rounds - 1); });
+        at(i).acquire(*candidate,
+                      [this, i, rounds](const CreditResult &) { place(i, rounds - 1); });
     }
 
-    void send(int i, UpstreamLife incarnation)
+    void send(int i, UpstreamIncarnation incarnation)
     {
         const auto upstream = static_cast<std::size_t>(incarnation);
         at(i).use(incarnation);
@@ -169,7 +171,7 @@
             ++served;
             if (!isRunning(run.instance))
                 continue;
-            at(run.instance).heard(run.upstream, limits_[run.upstream]);
+            at(run.instance).updateLimit(run.upstream, limits_[run.upstream]);
         }
     }
 
