--- a/modules/admission/budget/BudgetLedger.cpp
+++ b/modules/admission/budget/BudgetLedger.cpp
@@ -340,7 +340,7 @@
     }
 }
 
-void BudgetLedger::receive(std::string_view frame, Millis now)
+void BudgetLedger::handleFrame(std::string_view frame, Millis now)
 {
     const auto message = decodeBudgetMessage(frame);
     if (!message)
--- a/modules/admission/budget/BudgetLedger.h
+++ b/modules/admission/budget/BudgetLedger.h
@@ -83,7 +83,7 @@
     void poll(Millis now);
 
     /** Handles a frame from another instance. Malformed frames are dropped. */
-    void receive(std::string_view frame, Millis now);
+    void handleFrame(std::string_view frame, Millis now);
 
     /** Returns the part of a customer's limits that this instance may use now. */
     LocalShare share(CustomerIndex customer) const;
--- a/modules/admission/budget/BudgetLedger_test.cpp
+++ b/modules/admission/budget/BudgetLedger_test.cpp
@@ -92,7 +92,7 @@
                 if (message.arrives > now)
                     inFlight.push_back(message);
                 else
-                    instances[message.to]->ledger->receive(message.frame, now);
+                    instances[message.to]->ledger->handleFrame(message.frame, now);
             }
             if (now.count() % 100 == 0) {
                 for (auto &instance : instances)
@@ -297,7 +297,7 @@
     Group group(2, {0, 10, 0});
     for (const char *frame : {"", "\xff", "{}", "\xa1\x61\x74\x01"}) {
         CHECK_FALSE(decodeBudgetMessage(frame).has_value());
-        group.instances[0]->ledger->receive(frame, group.now);
+        group.instances[0]->ledger->handleFrame(frame, group.now);
     }
     CHECK(group.sum(concurrency) == doctest::Approx(10));
 }
--- a/modules/authoritybench/holder/AuthorityHolder.cpp
+++ b/modules/authoritybench/holder/AuthorityHolder.cpp
@@ -114,15 +114,15 @@
         hooks.liveMembers = [this] { return options_.members; };
         hooks.onTaken = [this](const std::string &duty, const Authority &) {
             if (duty == ordersDuty)
-                orders_.taken();
+                orders_.onLeaseAcquired();
             else
-                reporter_.taken();
+                reporter_.onLeaseAcquired();
         };
         hooks.onLost = [this](const std::string &duty) {
             if (duty == ordersDuty)
-                orders_.lost();
+                orders_.onLeaseLost();
             else
-                reporter_.lost();
+                reporter_.onLeaseLost();
         };
         return hooks;
     }
--- a/modules/capacity/capacity.h
+++ b/modules/capacity/capacity.h
@@ -13,6 +13,6 @@
     Depends on: core, ports, settings, lease, orders, nlohmann-json.
 */
 
-#include "capacity/fleet/FleetKeeper.h"
+#include "capacity/fleet/FleetManager.h"
 #include "capacity/fleet/FleetPlanner.h"
 #include "capacity/roles/RoleBalancer.h"
--- a/modules/capacity/fleet/FleetKeeper.cpp
+++ b/modules/capacity/fleet/FleetManager.cpp
@@ -1,4 +1,4 @@
-#include "capacity/fleet/FleetKeeper.h"
+#include "capacity/fleet/FleetManager.h"
 
 #include "core/events/EventCatalogue.h"
 #include "core/guards/Guards.h"
@@ -46,12 +46,13 @@
     }
 }
 
-FleetKeeper::FleetKeeper(Zone zone, Hooks hooks) : zone_(std::move(zone)), hooks_(std::move(hooks))
+FleetManager::FleetManager(Zone zone, Hooks hooks)
+    : zone_(std::move(zone)), hooks_(std::move(hooks))
 { }
 
 template<typename Reply>
 std::function<void(const Reply &)>
-FleetKeeper::forCurrentEpoch(void (FleetKeeper::*method)(const Reply &))
+FleetManager::forCurrentEpoch(void (FleetManager::*method)(const Reply &))
 {
     return [this, method, epoch = epoch_](const Reply &reply) {
         if (epoch != epoch_)
@@ -61,14 +62,14 @@
     };
 }
 
-void FleetKeeper::taken()
+void FleetManager::onLeaseAcquired()
 {
-    lost();
+    onLeaseLost();
     stage_ = Stage::Reading;
     nextAttemptAt_ = hooks_.clock.now();
 }
 
-void FleetKeeper::lost()
+void FleetManager::onLeaseLost()
 {
     ++epoch_;
     isCallPending_ = false;
@@ -76,14 +77,14 @@
     stage_ = Stage::Off;
 }
 
-std::optional<FleetRecord> FleetKeeper::last() const
+std::optional<FleetRecord> FleetManager::lastRecord() const
 {
     if (record_.clientToken.empty())
         return std::nullopt;
     return record_;
 }
 
-std::optional<Authority> FleetKeeper::usableAuthority() const
+std::optional<Authority> FleetManager::usableAuthority() const
 {
     const auto authority = hooks_.authority();
     if (!authority || authority->notAfter - hooks_.clock.now() < sendMargin)
@@ -94,7 +95,7 @@
 /**
     As for orders to engines: increases with each target, also if the same lease is acquired again.
 */
-FenceNumber FleetKeeper::nextFence(const Authority &authority)
+FenceNumber FleetManager::nextFence(const Authority &authority)
 {
     if (authority.fence != sequenceFence_)
         sequence_ = 0;
@@ -102,20 +103,20 @@
     return authority.fence * ordersPerHolder + ++sequence_;
 }
 
-void FleetKeeper::retryLater()
+void FleetManager::retryLater()
 {
     const auto jitter = hooks_.random() % static_cast<std::uint64_t>(retryInterval.count());
     nextAttemptAt_ =
         hooks_.clock.now() + retryInterval / 2 + Millis(static_cast<std::int64_t>(jitter));
 }
 
-void FleetKeeper::restartReading()
+void FleetManager::restartReading()
 {
     stage_ = Stage::Reading;
     retryLater();
 }
 
-void FleetKeeper::tick()
+void FleetManager::tick()
 {
     if (isCallPending_ || hooks_.clock.now() < nextAttemptAt_)
         return;
@@ -125,7 +126,7 @@
         readBack();
 }
 
-bool FleetKeeper::request(std::uint32_t count, Reason *lastReason)
+bool FleetManager::request(std::uint32_t count, Reason *lastReason)
 {
     const std::string where = FleetRecord::path(zone_);
     if (stage_ != Stage::Idle)
@@ -145,14 +146,14 @@
     return true;
 }
 
-void FleetKeeper::read()
+void FleetManager::read()
 {
     isCallPending_ = true;
     hooks_.store.get(FleetRecord::path(zone_),
-                     forCurrentEpoch<StoreReply>(&FleetKeeper::handleRead));
+                     forCurrentEpoch<StoreReply>(&FleetManager::handleRead));
 }
 
-void FleetKeeper::handleRead(const StoreReply &reply)
+void FleetManager::handleRead(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::NotFound) {
         version_ = 0;
@@ -186,17 +187,17 @@
     stage_ = Stage::InDoubt;
 }
 
-void FleetKeeper::write(Stage stage)
+void FleetManager::write(Stage stage)
 {
     stage_ = stage;
     isCallPending_ = true;
-    const auto method = stage == Stage::Recording ? &FleetKeeper::handleRecorded
-                                                  : &FleetKeeper::handleResultRecorded;
+    const auto method = stage == Stage::Recording ? &FleetManager::handleRecorded
+                                                  : &FleetManager::handleResultRecorded;
     hooks_.store.put({FleetRecord::path(zone_), record_.toText(), version_},
                      forCurrentEpoch<StoreReply>(method));
 }
 
-void FleetKeeper::handleRecorded(const StoreReply &reply)
+void FleetManager::handleRecorded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
         restartReading();
@@ -206,7 +207,7 @@
     declare();
 }
 
-void FleetKeeper::declare()
+void FleetManager::declare()
 {
     const auto authority = usableAuthority();
     if (!authority) {
@@ -225,10 +226,10 @@
     hooks_.events(
         Event{&events::fleetTargetDeclared,
               {{"zone", FleetRecord::path(zone_)}, {"count", std::to_string(record_.count)}}});
-    hooks_.fleet.setTarget(target, forCurrentEpoch<OrderReply>(&FleetKeeper::handleDeclared));
+    hooks_.fleet.setTarget(target, forCurrentEpoch<OrderReply>(&FleetManager::handleDeclared));
 }
 
-void FleetKeeper::handleDeclared(const OrderReply &reply)
+void FleetManager::handleDeclared(const OrderReply &reply)
 {
     if (reply.status == OrderStatus::Accepted) {
         settle();
@@ -239,15 +240,15 @@
     retryLater();
 }
 
-void FleetKeeper::readBack()
+void FleetManager::readBack()
 {
     isCallPending_ = true;
     hooks_.fleet.readTarget(
         zone_.domain, zone_.costClass,
-        forCurrentEpoch<std::optional<FleetStatus>>(&FleetKeeper::handleReadBack));
+        forCurrentEpoch<std::optional<FleetStatus>>(&FleetManager::handleReadBack));
 }
 
-void FleetKeeper::handleReadBack(const std::optional<FleetStatus> &status)
+void FleetManager::handleReadBack(const std::optional<FleetStatus> &status)
 {
     retryLater();
     if (!status)
@@ -263,13 +264,13 @@
         declare();
 }
 
-void FleetKeeper::settle()
+void FleetManager::settle()
 {
     record_.isSettled = true;
     write(Stage::RecordingResult);
 }
 
-void FleetKeeper::handleResultRecorded(const StoreReply &reply)
+void FleetManager::handleResultRecorded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
         restartReading();
--- a/modules/capacity/fleet/FleetKeeper.h
+++ b/modules/capacity/fleet/FleetManager.h
@@ -38,7 +38,7 @@
     contains the total number and a token, so repeating it has no effect: if the result is unknown,
     the target is read back and, if necessary, declared again before another one follows.
 */
-class FleetKeeper
+class FleetManager
 {
 public:
     struct Hooks
@@ -51,14 +51,14 @@
         std::function<std::optional<Authority>()> authority;
     };
 
-    FleetKeeper(Zone zone, Hooks hooks);
-    FleetKeeper(const FleetKeeper &) = delete;
-    FleetKeeper &operator=(const FleetKeeper &) = delete;
+    FleetManager(Zone zone, Hooks hooks);
+    FleetManager(const FleetManager &) = delete;
+    FleetManager &operator=(const FleetManager &) = delete;
 
     /** Called when the duty's lease was acquired. */
-    void taken();
+    void onLeaseAcquired();
     /** Called when the duty's lease was lost or is about to be released. */
-    void lost();
+    void onLeaseLost();
     /** Performs the actions that are due. */
     void tick();
     /** Declares a target. Fails while another one is not settled, or without a valid lease. */
@@ -66,7 +66,7 @@
     /** Returns true if a target could be declared now. */
     bool isIdle() const { return stage_ == Stage::Idle; }
     /** Returns the last recorded target. */
-    std::optional<FleetRecord> last() const;
+    std::optional<FleetRecord> lastRecord() const;
 
 private:
     enum class Stage : std::uint8_t {
@@ -80,7 +80,7 @@
     };
 
     template<typename Reply>
-    std::function<void(const Reply &)> forCurrentEpoch(void (FleetKeeper::*method)(const Reply &));
+    std::function<void(const Reply &)> forCurrentEpoch(void (FleetManager::*method)(const Reply &));
 
     std::optional<Authority> usableAuthority() const;
     FenceNumber nextFence(const Authority &authority);
--- a/modules/capacity/fleet/FleetKeeper_test.cpp
+++ b/modules/capacity/fleet/FleetManager_test.cpp
@@ -17,7 +17,7 @@
 {
     FakeProcessPtr process;
     Authority lease;
-    std::unique_ptr<FleetKeeper> manager;
+    std::unique_ptr<FleetManager> manager;
 };
 
 class Simulation
@@ -35,18 +35,18 @@
         Holder &holder = *holders.back();
         holder.process = std::make_shared<FakeProcess>(name);
         holder.lease = Authority{fence, scheduler.now() + span};
-        FleetKeeper::Hooks hooks{store.port(holder.process),
-                                 fleet.port(holder.process),
-                                 scheduler.clock(),
-                                 scheduler.random(),
-                                 ignoreEvents(),
-                                 [this, &holder]() -> std::optional<Authority> {
-                                     if (scheduler.now() >= holder.lease.notAfter)
-                                         return std::nullopt;
-                                     return holder.lease;
-                                 }};
-        holder.manager = std::make_unique<FleetKeeper>(zone, std::move(hooks));
-        holder.manager->taken();
+        FleetManager::Hooks hooks{store.port(holder.process),
+                                  fleet.port(holder.process),
+                                  scheduler.clock(),
+                                  scheduler.random(),
+                                  ignoreEvents(),
+                                  [this, &holder]() -> std::optional<Authority> {
+                                      if (scheduler.now() >= holder.lease.notAfter)
+                                          return std::nullopt;
+                                      return holder.lease;
+                                  }};
+        holder.manager = std::make_unique<FleetManager>(zone, std::move(hooks));
+        holder.manager->onLeaseAcquired();
         return holder;
     }
 
@@ -123,6 +123,6 @@
     simulation.run(Millis::seconds(30));
     CHECK(simulation.target() == 5);
     CHECK(holder.manager->isIdle());
-    REQUIRE(holder.manager->last());
-    CHECK(holder.manager->last()->isSettled);
+    REQUIRE(holder.manager->lastRecord());
+    CHECK(holder.manager->lastRecord()->isSettled);
 }
--- a/modules/capacity/roles/RoleBalancer.cpp
+++ b/modules/capacity/roles/RoleBalancer.cpp
@@ -47,7 +47,8 @@
 
 } // namespace
 
-double RoleBalancer::shortage(const std::vector<RoleEngine> &engines, const ModelMix &demand) const
+double RoleBalancer::shortage(const std::vector<RoleEngine> &engines,
+                              const ModelDemand &demand) const
 {
     const RoleCounts counts = countRoles(engines);
     const double prefillCapacity = counts.prefill * options_.utilisation;
@@ -61,7 +62,7 @@
     return std::max(0.0, unmetPrefill - lent + unmetDecode - mixedCapacity);
 }
 
-ModelMix RoleBalancer::smooth(ModelState &state, Millis now, const ModelMix &demand) const
+ModelDemand RoleBalancer::smooth(ModelState &state, Millis now, const ModelDemand &demand) const
 {
     if (!state.hasSmoothed) {
         state.smoothed = demand;
@@ -97,9 +98,9 @@
                                                     const RoleInput &input)
 {
     ModelState &state = models_[model];
-    const auto found = input.mix.find(model);
-    const ModelMix demand =
-        smooth(state, now, found == input.mix.end() ? ModelMix{} : found->second);
+    const auto found = input.demand.find(model);
+    const ModelDemand demand =
+        smooth(state, now, found == input.demand.end() ? ModelDemand{} : found->second);
     // A change in progress has no effect on the demand figures yet; another decision would
     // overshoot.
     const bool isChanging = std::any_of(engines.begin(), engines.end(),
--- a/modules/capacity/roles/RoleBalancer.h
+++ b/modules/capacity/roles/RoleBalancer.h
@@ -26,7 +26,7 @@
 };
 
 /** Demand for a model, in fully utilised engines: work per second divided by an engine's rate. */
-struct ModelMix
+struct ModelDemand
 {
     double prefillEngines = 0;
     double decodeEngines = 0;
@@ -35,7 +35,7 @@
 struct RoleInput
 {
     std::vector<RoleEngine> engines;
-    std::map<ModelId, ModelMix> mix;
+    std::map<ModelId, ModelDemand> demand;
     /**
         Maximum number of engines per failure domain that may change role at the same time; 1 for
         domains not listed.
@@ -51,7 +51,7 @@
     std::string evidence;
 };
 
-struct RoleTiming
+struct RoleBalancerOptions
 {
     /** Planned utilisation of an engine. */
     double utilisation = 0.85;
@@ -85,18 +85,18 @@
 class RoleBalancer
 {
 public:
-    explicit RoleBalancer(const RoleTiming &options) : options_(options) { }
+    explicit RoleBalancer(const RoleBalancerOptions &options) : options_(options) { }
 
     /** Processes the current demand and returns the changes to make now. */
     std::vector<RoleChange> decide(Millis now, const RoleInput &input);
 
     /** Returns the work, in engines, that routing cannot place on a set of engines. */
-    double shortage(const std::vector<RoleEngine> &engines, const ModelMix &demand) const;
+    double shortage(const std::vector<RoleEngine> &engines, const ModelDemand &demand) const;
 
 private:
     struct ModelState
     {
-        ModelMix smoothed;
+        ModelDemand smoothed;
         Millis smoothedAt;
         bool hasSmoothed = false;
         std::optional<Millis> shortageSince;
@@ -105,7 +105,7 @@
         EngineRole changedTo = EngineRole::Mixed;
     };
 
-    ModelMix smooth(ModelState &state, Millis now, const ModelMix &demand) const;
+    ModelDemand smooth(ModelState &state, Millis now, const ModelDemand &demand) const;
     std::optional<RoleChange> decideModel(Millis now, const ModelId &model,
                                           const std::vector<RoleEngine> &engines,
                                           const RoleInput &input);
@@ -114,7 +114,7 @@
                    const RoleInput &input, EngineRole to) const;
     bool paysBack(double gain) const;
 
-    RoleTiming options_;
+    RoleBalancerOptions options_;
     std::map<ModelId, ModelState> models_;
     std::map<UpstreamId, Millis> changedAt_;
 };
--- a/modules/capacity/roles/RoleBalancer_test.cpp
+++ b/modules/capacity/roles/RoleBalancer_test.cpp
@@ -29,12 +29,12 @@
 
 struct Simulation
 {
-    RoleBalancer balancer{RoleTiming{}};
+    RoleBalancer balancer{RoleBalancerOptions{}};
     RoleInput input;
     int changes = 0;
 
     /** Decides every second; each change takes effect five seconds later. */
-    void run(Millis from, Millis to, const std::function<ModelMix(Millis)> &demand)
+    void run(Millis from, Millis to, const std::function<ModelDemand(Millis)> &demand)
     {
         for (Millis now = from; now < to; now += Millis(1000)) {
             for (auto it = pendingChanges_.begin(); it != pendingChanges_.end();) {
@@ -45,7 +45,7 @@
                 finishChange(it->second);
                 it = pendingChanges_.erase(it);
             }
-            input.mix[model] = demand(now);
+            input.demand[model] = demand(now);
             for (const RoleChange &change : balancer.decide(now, input)) {
                 ++changes;
                 markChanging(change.engine);
@@ -89,7 +89,7 @@
     {
         const char *name;
         RoleInput fleet;
-        ModelMix demand;
+        ModelDemand demand;
     };
     const std::vector<Row> rows = {
         {"all mixed", fleetOf(0, 0, 8), {4, 2.5}},
@@ -110,10 +110,11 @@
 {
     Simulation simulation;
     simulation.input = fleetOf(2, 6, 0);
-    simulation.run(Millis(0), Millis::minutes(10), [](Millis) { return ModelMix{4, 2}; });
+    simulation.run(Millis(0), Millis::minutes(10), [](Millis) { return ModelDemand{4, 2}; });
     CHECK(simulation.count(EngineRole::Prefill) >= 3);
     CHECK(simulation.count(EngineRole::Prefill) <= 5);
-    CHECK(simulation.balancer.shortage(simulation.input.engines, {4, 2}) < RoleTiming{}.minGain);
+    CHECK(simulation.balancer.shortage(simulation.input.engines, {4, 2})
+          < RoleBalancerOptions{}.minGain);
     CHECK(simulation.changes <= 3);
 }
 
@@ -125,7 +126,7 @@
     simulation.input = fleetOf(3, 5, 0);
     simulation.run(Millis(0), Millis::minutes(30), [](Millis now) {
         const bool isPromptHeavy = now.count() / 20000 % 2 == 0;
-        return isPromptHeavy ? ModelMix{4.5, 2} : ModelMix{1.5, 5};
+        return isPromptHeavy ? ModelDemand{4.5, 2} : ModelDemand{1.5, 5};
     });
     CHECK(simulation.changes <= 2);
 }
@@ -138,7 +139,7 @@
     simulation.input = fleetOf(3, 5, 0);
     simulation.run(Millis(0), Millis::minutes(120), [](Millis now) {
         const bool isPromptHeavy = now.count() / Millis::minutes(20).count() % 2 == 0;
-        return isPromptHeavy ? ModelMix{4.5, 2} : ModelMix{1.5, 5.5};
+        return isPromptHeavy ? ModelDemand{4.5, 2} : ModelDemand{1.5, 5.5};
     });
     CHECK(simulation.changes >= 2);
     CHECK(simulation.changes <= 6 * 3);
@@ -150,17 +151,17 @@
 {
     Simulation simulation;
     simulation.input = fleetOf(1, 3, 0);
-    simulation.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelMix{9, 0}; });
+    simulation.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelDemand{9, 0}; });
     CHECK(simulation.count(EngineRole::Decode) >= 1);
     Simulation other;
     other.input = fleetOf(3, 1, 0);
-    other.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelMix{0, 9}; });
+    other.run(Millis(0), Millis::minutes(60), [](Millis) { return ModelDemand{0, 9}; });
     CHECK(other.count(EngineRole::Prefill) >= 1);
 }
 
 TEST_CASE("a failure domain never exceeds its limit of concurrent role changes")
 {
-    RoleBalancer balancer{RoleTiming{}};
+    RoleBalancer balancer{RoleBalancerOptions{}};
     RoleInput input = fleetOf(1, 6, 0);
     for (RoleEngine &engine : input.engines)
         engine.domain = FailureDomainId("d0");
@@ -169,7 +170,7 @@
     other.model = ModelId("other");
     other.changing = true;
     input.engines.push_back(other);
-    input.mix[model] = ModelMix{5, 1};
+    input.demand[model] = ModelDemand{5, 1};
     std::size_t changes = 0;
     for (Millis now; now < Millis::minutes(5); now += Millis(1000))
         changes += balancer.decide(now, input).size();
--- a/modules/configsync/ConfigSync.cpp
+++ b/modules/configsync/ConfigSync.cpp
@@ -129,7 +129,7 @@
 
 FreshnessReport ConfigSync::freshness(Millis now) const
 {
-    FreshnessReport report = freshness_.report(now, membership_.reach());
+    FreshnessReport report = freshness_.report(now, membership_.reachability());
     report.mayServe = report.mayServe && settings_ != nullptr;
     return report;
 }
@@ -320,7 +320,7 @@
                          {"reason", reason}}});
 }
 
-bool ConfigSync::receive(const std::string &frame)
+bool ConfigSync::handleFrame(const std::string &frame)
 {
     const auto message = decodeConfig(frame);
     if (!message) {
--- a/modules/configsync/ConfigSync.h
+++ b/modules/configsync/ConfigSync.h
@@ -77,7 +77,7 @@
 
     void tick();
     /** Handles a frame of FrameChannel::ConfigSync. Returns false if it was malformed. */
-    bool receive(const std::string &frame);
+    bool handleFrame(const std::string &frame);
 
     // To be called by Membership's hooks.
     SettingsDigest digest(Millis now) const;
--- a/modules/configsync/ConfigSync_test.cpp
+++ b/modules/configsync/ConfigSync_test.cpp
@@ -433,8 +433,8 @@
         encodeConfig(ContentChunkMessage{virtualSha256("x"), 0, 10, "0123456789"});
     REQUIRE(decodeConfig(chunk));
     for (std::size_t length = 0; length < chunk.size(); ++length)
-        CHECK_FALSE(cluster.config(0).receive(chunk.substr(0, length)));
+        CHECK_FALSE(cluster.config(0).handleFrame(chunk.substr(0, length)));
     CHECK(cluster.config(0).malformedFrames() == chunk.size());
-    CHECK(cluster.config(0).receive(chunk)); // well-formed, but not requested
+    CHECK(cluster.config(0).handleFrame(chunk)); // well-formed, but not requested
     CHECK(cluster.config(0).generation() == generation);
 }
--- a/modules/configsync/measure/ConfigCluster.cpp
+++ b/modules/configsync/measure/ConfigCluster.cpp
@@ -90,7 +90,7 @@
     instance.onPeerDigest = [&config](const PeerDigest &digest) { config.onPeerDigest(digest); };
     instance.onMembersChanged = [&config] { config.onMembersChanged(); };
     instance.onOtherFrame = [&config](FrameChannel, const std::string &frame) {
-        config.receive(frame);
+        config.handleFrame(frame);
     };
     instance.onTick = [&config](Millis) { config.tick(); };
 }
--- a/modules/configsync/messages/ConfigCodec.cpp
+++ b/modules/configsync/messages/ConfigCodec.cpp
@@ -1,6 +1,6 @@
 #include "configsync/messages/ConfigCodec.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "membership/messages/FrameChannel.h"
 
 namespace cuminrail {
@@ -58,7 +58,7 @@
     return json;
 }
 
-std::string readHash(CborArray &array)
+std::string readHash(CborArrayReader &array)
 {
     std::string text = array.name(kHashDigits);
     if (text.size() != kHashDigits
@@ -67,7 +67,7 @@
     return text;
 }
 
-ConfigMessage readBody(MessageCode code, CborArray &array)
+ConfigMessage readBody(MessageCode code, CborArrayReader &array)
 {
     switch (code) {
     case MessageCode::HeadRequest:
@@ -111,11 +111,11 @@
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray array(*value);
+    CborArrayReader array(*value);
     const std::uint64_t channel = array.number();
     const auto code = MessageCode(array.number(std::uint64_t(MessageCode::ContentChunk)));
     ConfigMessage message = readBody(code, array);
-    if (channel != std::uint64_t(FrameChannel::ConfigSync) || !array.isWhole())
+    if (channel != std::uint64_t(FrameChannel::ConfigSync) || !array.isFullyRead())
         return std::nullopt;
     return message;
 }
--- a/modules/engineview/EngineView.cpp
+++ b/modules/engineview/EngineView.cpp
@@ -186,7 +186,7 @@
         peers_.send(peer, encodeReportMessage(query, now));
 }
 
-bool EngineView::receive(const PeerAddress &from, const std::string &frame, Millis now)
+bool EngineView::handleFrame(const PeerAddress &from, const std::string &frame, Millis now)
 {
     now_ = now;
     const auto message = decodeReportMessage(frame, now);
--- a/modules/engineview/EngineView.h
+++ b/modules/engineview/EngineView.h
@@ -81,7 +81,7 @@
     void tick(Millis now);
 
     /** Handles a frame of FrameChannel::EngineReports. Returns false if it was malformed. */
-    bool receive(const PeerAddress &from, const std::string &frame, Millis now);
+    bool handleFrame(const PeerAddress &from, const std::string &frame, Millis now);
 
     /** Writes the known loads to the counters that routing reads. */
     void publishLoads(LiveLoads &loads,
--- a/modules/engineview/measure/ViewCluster.cpp
+++ b/modules/engineview/measure/ViewCluster.cpp
@@ -120,7 +120,7 @@
     const std::size_t receiver = byAddress_.at(to);
     scheduler_.after(linkDelay, [this, from, receiver, frame] {
         if (alive_[receiver])
-            views_[receiver]->receive(members_[from].address, frame, scheduler_.now());
+            views_[receiver]->handleFrame(members_[from].address, frame, scheduler_.now());
     });
 }
 
--- a/modules/engineview/reports/ReportCodec.cpp
+++ b/modules/engineview/reports/ReportCodec.cpp
@@ -1,6 +1,6 @@
 #include "engineview/reports/ReportCodec.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "membership/messages/FrameChannel.h"
 
 #include <algorithm>
@@ -60,50 +60,50 @@
                         state.models, state.adapters});
 }
 
-std::vector<std::string> readNames(CborArray &array)
+std::vector<std::string> readNames(CborArrayReader &array)
 {
     std::vector<std::string> names;
-    CborArray list(array.list(maxNames));
-    while (list.isGood() && !list.isWhole())
+    CborArrayReader list(array.list(maxNames));
+    while (list.isValid() && !list.isFullyRead())
         names.push_back(list.name(maxNameBytes));
-    if (!list.isGood())
+    if (!list.isValid())
         array.fail();
     return names;
 }
 
 std::optional<EngineState> decodeFacts(const Json &json)
 {
-    CborArray array(json);
+    CborArrayReader array(json);
     EngineState state;
     state.engine = UpstreamId(array.name(maxNameBytes));
     state.incarnation = array.number();
     state.role = static_cast<EngineRole>(array.number(static_cast<int>(EngineRole::None)));
     state.models = readNames(array);
     state.adapters = readNames(array);
-    if (!array.isWhole())
+    if (!array.isFullyRead())
         return std::nullopt;
     return state;
 }
 
-bool decodeReports(CborArray &array, ReportMessage &message, Millis now)
+bool decodeReports(CborArrayReader &array, ReportMessage &message, Millis now)
 {
     const std::string bytes = array.bytes(maxReportsPerFrame * reportBytes);
-    if (!array.isWhole() || bytes.size() % reportBytes != 0)
+    if (!array.isFullyRead() || bytes.size() % reportBytes != 0)
         return false;
     for (std::size_t position = 0; position < bytes.size();)
         message.reports.push_back(readReport(bytes, position, now));
     return true;
 }
 
-bool decodeWanted(CborArray &array, ReportMessage &message)
+bool decodeWanted(CborArrayReader &array, ReportMessage &message)
 {
-    CborArray list(array.list(maxReportsPerFrame));
-    while (list.isGood() && !list.isWhole())
+    CborArrayReader list(array.list(maxReportsPerFrame));
+    while (list.isValid() && !list.isFullyRead())
         message.wanted.push_back(static_cast<EngineKey>(list.number(UINT32_MAX)));
-    return list.isWhole() && array.isWhole();
+    return list.isFullyRead() && array.isFullyRead();
 }
 
-bool decodeAllFacts(CborArray &array, ReportMessage &message)
+bool decodeAllFacts(CborArrayReader &array, ReportMessage &message)
 {
     for (const Json &item : array.list(maxFactsPerFrame)) {
         const auto state = decodeFacts(item);
@@ -111,7 +111,7 @@
             return false;
         message.facts.push_back(*state);
     }
-    return array.isWhole();
+    return array.isFullyRead();
 }
 
 } // namespace
@@ -148,12 +148,12 @@
     const auto json = decodeCbor(frame);
     if (!json || !json->is_array())
         return std::nullopt;
-    CborArray array(*json);
+    CborArrayReader array(*json);
     array.number(static_cast<int>(FrameChannel::EngineReports));
     const std::uint64_t kind = array.number(static_cast<int>(ReportMessageKind::Facts));
     ReportMessage message;
     message.kind = static_cast<ReportMessageKind>(kind);
-    bool isGood = array.isGood();
+    bool isGood = array.isValid();
     if (message.kind == ReportMessageKind::Reports)
         isGood = isGood && decodeReports(array, message, now);
     else if (message.kind == ReportMessageKind::FactsWanted)
--- a/modules/feeds/messages/FeedMessages.cpp
+++ b/modules/feeds/messages/FeedMessages.cpp
@@ -1,7 +1,7 @@
 #include "feeds/messages/FeedMessages.h"
 
 #include "feeds/messages/Deflate.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <algorithm>
 
@@ -42,8 +42,8 @@
 
 bool decodeObjects(const json &array, std::vector<StoreObject> &decoded)
 {
-    CborArray objects(array);
-    while (objects.isGood() && !objects.isWhole()) {
+    CborArrayReader objects(array);
+    while (objects.isValid() && !objects.isFullyRead()) {
         StoreObject object;
         object.path = objects.bytes(maxPathBytes);
         object.value = objects.bytes(maxPlainBytes);
@@ -51,7 +51,7 @@
         object.removed = objects.boolean();
         decoded.push_back(std::move(object));
     }
-    return objects.isGood();
+    return objects.isValid();
 }
 
 } // namespace
@@ -85,7 +85,7 @@
     const auto value = decodeCbor(encoded);
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     if (elements.number() != updateTag)
         return std::nullopt;
     FeedUpdate update;
@@ -95,7 +95,7 @@
     update.isWhole = elements.boolean();
     const auto plainBytes = static_cast<std::size_t>(elements.number(maxPlainBytes));
     const std::string compressed = elements.bytes(maxUpdateBytes);
-    if (!elements.isWhole())
+    if (!elements.isFullyRead())
         return std::nullopt;
     const auto plain = inflated(compressed, plainBytes);
     const auto objects = plain
@@ -121,14 +121,14 @@
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     elements.number(deliveryTag);
     FeedDelivery delivery;
     delivery.update = elements.bytes(maxUpdateBytes);
-    CborArray receivers(elements.list(FeedDelivery::maxReceivers));
-    while (receivers.isGood() && !receivers.isWhole())
+    CborArrayReader receivers(elements.list(FeedDelivery::maxReceivers));
+    while (receivers.isValid() && !receivers.isFullyRead())
         delivery.forwardTo.push_back(receivers.name(maxAddressBytes));
-    if (!receivers.isGood() || !elements.isWhole())
+    if (!receivers.isValid() || !elements.isFullyRead())
         return std::nullopt;
     return delivery;
 }
@@ -145,12 +145,12 @@
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     elements.number(queryTag);
     FeedQuery query;
     query.kind = static_cast<FeedKind>(elements.number(feedKinds - 1));
     query.seen = elements.number();
-    return elements.isWhole() ? std::optional<FeedQuery>(query) : std::nullopt;
+    return elements.isFullyRead() ? std::optional<FeedQuery>(query) : std::nullopt;
 }
 
 std::string encodeFeedHeartbeat(const FeedHeartbeat &heartbeat)
@@ -174,7 +174,7 @@
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     elements.number(heartbeatTag);
     FeedHeartbeat heartbeat;
     for (FeedStatus &feedStatus : heartbeat.feeds) {
@@ -183,7 +183,7 @@
         feedStatus.age = Millis(static_cast<std::int64_t>(elements.number(maxAgeMillis)));
         feedStatus.isRefused = elements.boolean();
     }
-    return elements.isWhole() ? std::optional<FeedHeartbeat>(heartbeat) : std::nullopt;
+    return elements.isFullyRead() ? std::optional<FeedHeartbeat>(heartbeat) : std::nullopt;
 }
 
 } // namespace cuminrail
--- a/modules/feeds/messages/FeedMessages_test.cpp
+++ b/modules/feeds/messages/FeedMessages_test.cpp
@@ -2,7 +2,7 @@
 
 #include "core/random/Random.h"
 #include "feeds/messages/FeedMessages.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 using namespace cuminrail;
 
--- a/modules/gateway/peers/LedgerMessage.cpp
+++ b/modules/gateway/peers/LedgerMessage.cpp
@@ -1,6 +1,6 @@
 #include "gateway/peers/LedgerMessage.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <vector>
 
@@ -38,13 +38,13 @@
     const auto value = startsWith(frame, ledgerStart) ? decodeCbor(frame) : std::nullopt;
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     elements.number(ledgerTag);
     LedgerMessage message;
     message.owner = elements.name(maxOwnerBytes);
     message.version = elements.number();
     message.ledger = elements.bytes(FrameLimits::bytes);
-    return elements.isWhole() ? std::optional<LedgerMessage>(std::move(message)) : std::nullopt;
+    return elements.isFullyRead() ? std::optional<LedgerMessage>(std::move(message)) : std::nullopt;
 }
 
 std::string encodeLedgerReceipt(const LedgerReceipt &receipt)
@@ -57,12 +57,12 @@
     const auto value = startsWith(frame, receiptStart) ? decodeCbor(frame) : std::nullopt;
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     elements.number(receiptTag);
     LedgerReceipt receipt;
     receipt.owner = elements.name(maxOwnerBytes);
     receipt.version = elements.number();
-    return elements.isWhole() ? std::optional<LedgerReceipt>(std::move(receipt)) : std::nullopt;
+    return elements.isFullyRead() ? std::optional<LedgerReceipt>(std::move(receipt)) : std::nullopt;
 }
 
 } // namespace cuminrail
--- a/modules/gateway/peers/LedgerMessage_test.cpp
+++ b/modules/gateway/peers/LedgerMessage_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 #include "gateway/peers/LedgerMessage.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "readingbooks/messages/PrefillMessages.h"
 
 using namespace cuminrail;
--- a/modules/gateway/usage/GatewayUsage.cpp
+++ b/modules/gateway/usage/GatewayUsage.cpp
@@ -1,7 +1,7 @@
 #include "gateway/usage/GatewayUsage.h"
 
 #include "core/events/EventCatalogue.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 namespace cuminrail {
 
--- a/modules/instance/services/BudgetService.cpp
+++ b/modules/instance/services/BudgetService.cpp
@@ -1,7 +1,7 @@
 #include "instance/services/BudgetService.h"
 
 #include "admission/limits/AdmissionSettingsBuilder.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <random>
 #include <utility>
@@ -25,10 +25,10 @@
     const auto json = decodeCbor(frame);
     if (!json)
         return std::nullopt;
-    CborArray array(*json);
+    CborArrayReader array(*json);
     array.number(static_cast<int>(FrameChannel::Budgets));
     std::string message = array.bytes(FrameLimits::bytes);
-    if (!array.isWhole())
+    if (!array.isFullyRead())
         return std::nullopt;
     return message;
 }
@@ -42,12 +42,12 @@
       ledger_(control.context().config.instanceId, incarnation, BudgetOptions(), hooksFor(peers),
               seededRandom(std::random_device()()))
 {
-    members_.setFrameHook(FrameChannel::Budgets,
-                          [this](const PeerAddress &, const std::string &frame) {
-                              const auto message = withoutChannel(frame);
-                              if (message)
-                                  ledger_.receive(*message, control_.thread().deadlines().now());
-                          });
+    members_.setFrameHook(
+        FrameChannel::Budgets, [this](const PeerAddress &, const std::string &frame) {
+            const auto message = withoutChannel(frame);
+            if (message)
+                ledger_.handleFrame(*message, control_.thread().deadlines().now());
+        });
     members_.addChangeHook([this] { membersChanged(); });
     control_.addTick(pollPeriod, [this](Millis now) { ledger_.poll(now); });
     control_.addState("budgets", [this] { return nlohmann::json{{"loans", ledger_.loanCount()}}; });
--- a/modules/instance/services/DutyService.cpp
+++ b/modules/instance/services/DutyService.cpp
@@ -120,20 +120,20 @@
 {
     const auto orders = orders_.find(duty);
     if (orders != orders_.end())
-        orders->second->taken();
+        orders->second->onLeaseAcquired();
     const auto reporter = reporters_.find(duty);
     if (reporter != reporters_.end())
-        reporter->second->taken();
+        reporter->second->onLeaseAcquired();
 }
 
 void DutyService::lost(const std::string &duty)
 {
     const auto orders = orders_.find(duty);
     if (orders != orders_.end())
-        orders->second->lost();
+        orders->second->onLeaseLost();
     const auto reporter = reporters_.find(duty);
     if (reporter != reporters_.end())
-        reporter->second->lost();
+        reporter->second->onLeaseLost();
 }
 
 void DutyService::tick()
--- a/modules/instance/services/EngineService.cpp
+++ b/modules/instance/services/EngineService.cpp
@@ -33,7 +33,7 @@
 {
     members.setFrameHook(FrameChannel::EngineReports,
                          [this](const PeerAddress &from, const std::string &frame) {
-                             view_.receive(from, frame, control_.thread().deadlines().now());
+                             view_.handleFrame(from, frame, control_.thread().deadlines().now());
                          });
     members.addChangeHook([this] { view_.refreshPolled(); });
     members.addFactHook([this](const UrgentFact &fact) {
--- a/modules/instance/services/MemberService.cpp
+++ b/modules/instance/services/MemberService.cpp
@@ -26,7 +26,7 @@
 {
     membership_.setSeeds(control_.context().config.peers);
     setFrameHook(FrameChannel::Membership, [this](const PeerAddress &, const std::string &frame) {
-        membership_.receive(control_.thread().deadlines().now(), frame);
+        membership_.handleFrame(control_.thread().deadlines().now(), frame);
     });
     control_.addStartHook([this] { readListIfDue(control_.thread().deadlines().now()); });
     control_.addTick(listTick, [this](Millis now) { readListIfDue(now); });
@@ -162,7 +162,7 @@
     std::vector<ListedInstance> upstreams;
     for (const ListedInstance &entry : *listed)
         (entry.isOwn ? own : upstreams).push_back(entry);
-    membership_.setListed(own);
+    membership_.setListedInstances(own);
     if (onUpstreamList_)
         onUpstreamList_(upstreams);
 }
--- a/modules/instance/services/SettingsService.cpp
+++ b/modules/instance/services/SettingsService.cpp
@@ -27,7 +27,7 @@
 {
     members.setFrameHook(
         FrameChannel::ConfigSync,
-        [this](const PeerAddress &, const std::string &frame) { sync_.receive(frame); });
+        [this](const PeerAddress &, const std::string &frame) { sync_.handleFrame(frame); });
     members.addFactHook([this](const UrgentFact &fact) { sync_.onFact(fact); });
     members.addDigestHook([this](const PeerDigest &digest) { sync_.onPeerDigest(digest); });
     members.addChangeHook([this] { sync_.onMembersChanged(); });
--- a/modules/membership/Membership.cpp
+++ b/modules/membership/Membership.cpp
@@ -35,7 +35,7 @@
       deadDeclarationLimit_(config.maxUnresponsiveShare, config.unresponsiveWindow)
 { }
 
-void Membership::setListed(const std::vector<ListedInstance> &listed)
+void Membership::setListedInstances(const std::vector<ListedInstance> &listed)
 {
     listedAddresses_.clear();
     for (const ListedInstance &instance : listed) {
@@ -287,7 +287,7 @@
     return MemberView{entry->record, entry->unreachable, entry->settings};
 }
 
-PeerReachability Membership::reach() const
+PeerReachability Membership::reachability() const
 {
     PeerReachability reach;
     for (const auto &item : table_.entries()) {
--- a/modules/membership/Membership.h
+++ b/modules/membership/Membership.h
@@ -3,8 +3,8 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Millis.h"
+#include "membership/detector/DeadDeclarationLimit.h"
 #include "membership/detector/ProbeTracker.h"
-#include "membership/detector/SilenceBound.h"
 #include "membership/facts/FactStore.h"
 #include "membership/gossip/UpdateQueue.h"
 #include "membership/messages/MembershipMessages.h"
@@ -141,11 +141,11 @@
         Sets the platform's instance list: a source of contact addresses, never a reason to remove a
         member.
     */
-    void setListed(const std::vector<ListedInstance> &listed);
+    void setListedInstances(const std::vector<ListedInstance> &listed);
 
     void tick(Millis now);
     /** Handles a frame of FrameChannel::Membership. Returns false if it was malformed. */
-    bool receive(Millis now, const std::string &frame);
+    bool handleFrame(Millis now, const std::string &frame);
 
     /** Announces this instance's planned stop to its neighbours immediately. Cannot be revoked. */
     void leave(Millis now);
@@ -163,7 +163,7 @@
     std::vector<MemberView> members() const;
     std::optional<MemberView> member(const InstanceId &id) const;
     const MemberRecord &self() const { return self_; }
-    PeerReachability reach() const;
+    PeerReachability reachability() const;
     const FactStore &facts() const { return facts_; }
     /**
         Removes facts that are no longer needed, such as withdrawals that the settings contain by
@@ -235,7 +235,7 @@
     FactStore facts_;
     UpdateQueue updates_;
     ProbeTracker probes_;
-    SilenceBound deadDeclarationLimit_;
+    DeadDeclarationLimit deadDeclarationLimit_;
     NeighbourRing ring_;
     bool ringIsStale_ = true;
     mutable std::optional<std::uint64_t> tableHash_;
--- a/modules/membership/MembershipMessageHandling.cpp
+++ b/modules/membership/MembershipMessageHandling.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-bool Membership::receive(Millis now, const std::string &frame)
+bool Membership::handleFrame(Millis now, const std::string &frame)
 {
     ++stats_.framesReceived;
     const auto message = decodeMembership(frame);
--- a/modules/membership/Membership_test.cpp
+++ b/modules/membership/Membership_test.cpp
@@ -131,7 +131,7 @@
     late.sender.self = cluster.membership(3).self();
     late.sender.self.leaving = false;
     late.sender.self.refutation += 1;
-    cluster.membership(9).receive(cluster.now(), encodeMembership(late));
+    cluster.membership(9).handleFrame(cluster.now(), encodeMembership(late));
     cluster.runFor(Millis::seconds(5));
     CHECK(countWhere(cluster, 3, isLeaving) == 23);
 
@@ -184,8 +184,8 @@
     cluster.runFor(Millis::minutes(2));
     CHECK(countDeclaredDead(cluster, 0) == 5);
     CHECK(cluster.membership(0).stats().declaredDead == 0);
-    CHECK_FALSE(cluster.membership(0).reach().isMajority());
-    CHECK(cluster.membership(1).reach().isMajority());
+    CHECK_FALSE(cluster.membership(0).reachability().isMajority());
+    CHECK(cluster.membership(1).reachability().isMajority());
     for (const MemberView &view : cluster.membership(0).members())
         CHECK(view.unreachable);
     cluster.setConnected(0, true);
@@ -204,7 +204,7 @@
     cluster.setRegionsPartitioned(true);
     cluster.runFor(Millis::minutes(10));
     CHECK(countDeadDeclarations(cluster) == 0);
-    CHECK_FALSE(cluster.membership(0).reach().isMajority());
+    CHECK_FALSE(cluster.membership(0).reachability().isMajority());
 
     cluster.kill(4);
     cluster.runFor(Millis::seconds(20));
@@ -275,7 +275,7 @@
     cluster.runFor(Millis::seconds(5));
     const std::uint64_t hash = cluster.membership(0).tableHash();
     for (const char *frame : {"", "x", "\x81\x01", "\x83\x01\x01\x80"})
-        CHECK_FALSE(cluster.membership(0).receive(cluster.now(), frame));
+        CHECK_FALSE(cluster.membership(0).handleFrame(cluster.now(), frame));
     CHECK(cluster.membership(0).stats().malformedFrames == 4);
     CHECK(cluster.membership(0).tableHash() == hash);
 }
@@ -289,7 +289,7 @@
     ListedInstance listed;
     listed.address = VirtualCluster::addressOf(2);
     listed.isOwn = true;
-    cluster.membership(4).setListed({listed});
+    cluster.membership(4).setListedInstances({listed});
     cluster.runFor(Millis::seconds(20));
     CHECK(cluster.isConverged());
 }
--- a/modules/membership/detector/SilenceBound.cpp
+++ b/modules/membership/detector/DeadDeclarationLimit.cpp
@@ -1,4 +1,4 @@
-#include "membership/detector/SilenceBound.h"
+#include "membership/detector/DeadDeclarationLimit.h"
 
 #include "core/guards/Guards.h"
 
@@ -7,8 +7,8 @@
 
 namespace cuminrail {
 
-bool SilenceBound::mayDeclareDead(const MemberTable &table, const MemberRecord &self,
-                                  const RegionId &region, Millis now) const
+bool DeadDeclarationLimit::mayDeclareDead(const MemberTable &table, const MemberRecord &self,
+                                          const RegionId &region, Millis now) const
 {
     if (!guardEnabled(Guard::SilenceBounded))
         return true;
--- a/modules/membership/detector/SilenceBound.h
+++ b/modules/membership/detector/DeadDeclarationLimit.h
@@ -14,7 +14,7 @@
     occasionally. Counted per region, so that losing contact with another region does not prevent
     the detection of a dead instance in this one, and vice versa.
 */
-class SilenceBound
+class DeadDeclarationLimit
 {
 public:
     /**
@@ -22,7 +22,7 @@
                        dead
         @param window  how long a member declared dead counts as unresponsive
     */
-    SilenceBound(double maxShare, Millis window) : maxShare_(maxShare), window_(window) { }
+    DeadDeclarationLimit(double maxShare, Millis window) : maxShare_(maxShare), window_(window) { }
 
     /** Returns true if the unresponsive members of a region may be declared dead. */
     bool mayDeclareDead(const MemberTable &table, const MemberRecord &self, const RegionId &region,
--- a/modules/membership/measure/VirtualCluster.cpp
+++ b/modules/membership/measure/VirtualCluster.cpp
@@ -157,7 +157,7 @@
     receiver.bytesReceived += frame.size() + linkOverhead;
     const auto channel = frameChannel(frame);
     if (channel == FrameChannel::Membership)
-        receiver.membership->receive(now(), frame);
+        receiver.membership->handleFrame(now(), frame);
     else if (channel && receiver.onOtherFrame)
         receiver.onOtherFrame(*channel, frame);
 }
@@ -170,7 +170,7 @@
     for (std::size_t i = 0; i < size(); ++i) {
         if (!at(i).process || !at(i).process->isAlive())
             continue;
-        const PeerReachability reach = membership(i).reach();
+        const PeerReachability reach = membership(i).reachability();
         if (reach.known != running || reach.alive != running)
             return false;
     }
--- a/modules/membership/messages/CborArray.cpp
+++ b/modules/membership/messages/CborArrayReader.cpp
@@ -1,4 +1,4 @@
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <algorithm>
 
@@ -77,11 +77,11 @@
     return frame;
 }
 
-CborArray::CborArray(const nlohmann::json &value)
+CborArrayReader::CborArrayReader(const nlohmann::json &value)
     : value_(value.is_array() ? value : emptyArray()), valid_(value.is_array())
 { }
 
-const nlohmann::json *CborArray::next()
+const nlohmann::json *CborArrayReader::next()
 {
     if (valid_ && position_ < value_.size())
         return &value_[position_++];
@@ -89,7 +89,7 @@
     return nullptr;
 }
 
-std::uint64_t CborArray::number(std::uint64_t maximum)
+std::uint64_t CborArrayReader::number(std::uint64_t maximum)
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_number_unsigned()
@@ -100,7 +100,7 @@
     return element->get<std::uint64_t>();
 }
 
-bool CborArray::boolean()
+bool CborArrayReader::boolean()
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_boolean()) {
@@ -110,7 +110,7 @@
     return element->get<bool>();
 }
 
-std::string CborArray::name(std::size_t maximum, bool allowEmpty)
+std::string CborArrayReader::name(std::size_t maximum, bool allowEmpty)
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_string()) {
@@ -127,7 +127,7 @@
     return text;
 }
 
-std::string CborArray::bytes(std::size_t maximum)
+std::string CborArrayReader::bytes(std::size_t maximum)
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_binary() || element->get_binary().size() > maximum) {
@@ -138,7 +138,7 @@
     return {binary.begin(), binary.end()};
 }
 
-const nlohmann::json &CborArray::list(std::size_t maximum)
+const nlohmann::json &CborArrayReader::list(std::size_t maximum)
 {
     const nlohmann::json *element = next();
     if (element == nullptr || !element->is_array() || element->size() > maximum) {
--- a/modules/membership/messages/CborArray.h
+++ b/modules/membership/messages/CborArrayReader.h
@@ -43,10 +43,10 @@
     return empty values and isValid() stays false, so that a decoder needs only one check at its
     end.
 */
-class CborArray
+class CborArrayReader
 {
 public:
-    explicit CborArray(const nlohmann::json &value);
+    explicit CborArrayReader(const nlohmann::json &value);
 
     std::uint64_t number(std::uint64_t maximum = UINT64_MAX);
     bool boolean();
@@ -58,9 +58,9 @@
     const nlohmann::json &list(std::size_t maximum);
 
     /** Returns true if all elements read so far were valid. */
-    bool isGood() const { return valid_; }
+    bool isValid() const { return valid_; }
     /** Returns true if, in addition, no element remains. */
-    bool isWhole() const { return valid_ && position_ == value_.size(); }
+    bool isFullyRead() const { return valid_ && position_ == value_.size(); }
     void fail() { valid_ = false; }
 
 private:
@@ -78,14 +78,15 @@
     @returns nothing unless all elements were read and valid
 */
 template<typename Take>
-auto decodeFrame(const std::string &frame, Take take) -> decltype(take(std::declval<CborArray &>()))
+auto decodeFrame(const std::string &frame, Take take)
+    -> decltype(take(std::declval<CborArrayReader &>()))
 {
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray elements(*value);
+    CborArrayReader elements(*value);
     auto message = take(elements);
-    return message && elements.isWhole() ? message : std::nullopt;
+    return message && elements.isFullyRead() ? message : std::nullopt;
 }
 
 } // namespace cuminrail
--- a/modules/membership/messages/MembershipCodec.cpp
+++ b/modules/membership/messages/MembershipCodec.cpp
@@ -1,6 +1,6 @@
 #include "membership/messages/MembershipCodec.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "membership/messages/FrameChannel.h"
 
 #include <utility>
@@ -31,9 +31,9 @@
                         record.region.text(), record.address});
 }
 
-MemberRecord readRecord(CborArray &outer, const Json &value)
+MemberRecord readRecord(CborArrayReader &outer, const Json &value)
 {
-    CborArray array(value);
+    CborArrayReader array(value);
     MemberRecord record;
     record.id = InstanceId(array.name(MembershipLimits::name));
     record.incarnation = array.number();
@@ -43,7 +43,7 @@
     record.domain = FailureDomainId(array.name(MembershipLimits::name, true));
     record.region = RegionId(array.name(MembershipLimits::name, true));
     record.address = array.name(MembershipLimits::address);
-    if (!array.isWhole())
+    if (!array.isFullyRead())
         outer.fail();
     return record;
 }
@@ -53,14 +53,14 @@
     return Json::array({std::uint64_t(fact.kind), fact.subject, fact.number});
 }
 
-UrgentFact readFact(CborArray &outer, const Json &value)
+UrgentFact readFact(CborArrayReader &outer, const Json &value)
 {
-    CborArray array(value);
+    CborArrayReader array(value);
     UrgentFact fact;
     fact.kind = UrgentFactKind(array.number(kMaxFactKind));
     fact.subject = array.name(MembershipLimits::subject);
     fact.number = array.number();
-    if (!array.isWhole())
+    if (!array.isFullyRead())
         outer.fail();
     return fact;
 }
@@ -72,9 +72,9 @@
                         sender.factsHash});
 }
 
-MessageSender readSender(CborArray &outer, const Json &value)
+MessageSender readSender(CborArrayReader &outer, const Json &value)
 {
-    CborArray array(value);
+    CborArrayReader array(value);
     MessageSender sender;
     sender.self = readRecord(array, array.list(8));
     sender.settings.headVersion = array.number();
@@ -82,7 +82,7 @@
         Millis(std::int64_t(array.number(std::uint64_t(Millis::never().count()))));
     sender.tableHash = array.number();
     sender.factsHash = array.number();
-    if (!array.isWhole() || sender.self.status != MemberStatus::Alive)
+    if (!array.isFullyRead() || sender.self.status != MemberStatus::Alive)
         outer.fail();
     return sender;
 }
@@ -101,15 +101,15 @@
     return Json::array({toJsonList(gossip.members), toJsonList(gossip.facts)});
 }
 
-Gossip readGossip(CborArray &outer, const Json &value)
+Gossip readGossip(CborArrayReader &outer, const Json &value)
 {
-    CborArray array(value);
+    CborArrayReader array(value);
     Gossip gossip;
     for (const Json &record : array.list(MembershipLimits::records))
         gossip.members.push_back(readRecord(array, record));
     for (const Json &fact : array.list(MembershipLimits::facts))
         gossip.facts.push_back(readFact(array, fact));
-    if (!array.isWhole())
+    if (!array.isFullyRead())
         outer.fail();
     return gossip;
 }
@@ -172,7 +172,7 @@
     return json;
 }
 
-MembershipMessage readPing(CborArray &array, MessageSender sender)
+MembershipMessage readPing(CborArrayReader &array, MessageSender sender)
 {
     PingMessage message;
     message.sender = std::move(sender);
@@ -181,7 +181,7 @@
     return message;
 }
 
-MembershipMessage readAck(CborArray &array, MessageSender sender)
+MembershipMessage readAck(CborArrayReader &array, MessageSender sender)
 {
     AckMessage message;
     message.sender = std::move(sender);
@@ -191,7 +191,7 @@
     return message;
 }
 
-MembershipMessage readPingRequest(CborArray &array, MessageSender sender)
+MembershipMessage readPingRequest(CborArrayReader &array, MessageSender sender)
 {
     PingRequestMessage message;
     message.sender = std::move(sender);
@@ -200,24 +200,24 @@
     return message;
 }
 
-MembershipMessage readSyncRequest(CborArray &array, MessageSender sender)
+MembershipMessage readSyncRequest(CborArrayReader &array, MessageSender sender)
 {
     SyncRequestMessage message;
     message.sender = std::move(sender);
-    CborArray entries(array.list(MembershipLimits::entries * 2));
-    while (entries.isGood() && !entries.isWhole()) {
+    CborArrayReader entries(array.list(MembershipLimits::entries * 2));
+    while (entries.isValid() && !entries.isFullyRead()) {
         TableSummaryEntry line;
         line.idHash = entries.number();
         line.recordHash = entries.number();
         message.entries.push_back(line);
     }
-    if (!entries.isWhole())
+    if (!entries.isFullyRead())
         array.fail();
     message.wantsFacts = array.boolean();
     return message;
 }
 
-MembershipMessage readSyncReply(CborArray &array, MessageSender sender)
+MembershipMessage readSyncReply(CborArrayReader &array, MessageSender sender)
 {
     SyncReplyMessage message;
     message.sender = std::move(sender);
@@ -225,7 +225,7 @@
     return message;
 }
 
-MembershipMessage readUrgent(CborArray &array, MessageSender sender)
+MembershipMessage readUrgent(CborArrayReader &array, MessageSender sender)
 {
     UrgentMessage message;
     message.sender = std::move(sender);
@@ -233,7 +233,7 @@
     return message;
 }
 
-MembershipMessage readBody(MessageCode code, CborArray &array, MessageSender sender)
+MembershipMessage readBody(MessageCode code, CborArrayReader &array, MessageSender sender)
 {
     switch (code) {
     case MessageCode::Ping:
@@ -265,12 +265,12 @@
     const auto value = decodeCbor(frame);
     if (!value)
         return std::nullopt;
-    CborArray array(*value);
+    CborArrayReader array(*value);
     const std::uint64_t channel = array.number();
     const auto code = MessageCode(array.number(std::uint64_t(MessageCode::Urgent)));
     MessageSender sender = readSender(array, array.list(5));
     MembershipMessage message = readBody(code, array, std::move(sender));
-    if (channel != std::uint64_t(FrameChannel::Membership) || !array.isWhole())
+    if (channel != std::uint64_t(FrameChannel::Membership) || !array.isFullyRead())
         return std::nullopt;
     return message;
 }
--- a/modules/membership/messages/MembershipCodec_test.cpp
+++ b/modules/membership/messages/MembershipCodec_test.cpp
@@ -1,5 +1,5 @@
 #include "membership/membership.h"
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <doctest/doctest.h>
 
--- a/modules/orders/keeper/OrderKeeper.cpp
+++ b/modules/orders/keeper/OrderKeeper.cpp
@@ -44,7 +44,7 @@
     }
 }
 
-void OrderKeeper::taken()
+void OrderKeeper::onLeaseAcquired()
 {
     isActive_ = true;
     ++epoch_;
@@ -53,7 +53,7 @@
         controller->start();
 }
 
-void OrderKeeper::lost()
+void OrderKeeper::onLeaseLost()
 {
     isActive_ = false;
     ++epoch_;
--- a/modules/orders/keeper/OrderKeeper.h
+++ b/modules/orders/keeper/OrderKeeper.h
@@ -62,9 +62,9 @@
     /** Sets the engines that belong to the duty. */
     void setEngines(const std::vector<OrderedEngine> &engines);
     /** The lease of the duty was acquired. */
-    void taken();
+    void onLeaseAcquired();
     /** The lease of the duty was lost or is being released. */
-    void lost();
+    void onLeaseLost();
     /** Performs due work; call about every 100 ms. */
     void tick();
 
--- a/modules/orders/keeper/OrderKeeper_test.cpp
+++ b/modules/orders/keeper/OrderKeeper_test.cpp
@@ -61,7 +61,7 @@
         holder.manager = std::make_unique<OrderKeeper>(
             OrderTiming{}, OrderKeeper::Hooks{std::move(controller), std::move(ticket)});
         holder.manager->setEngines({{engineId, engine().checksFence}});
-        holder.manager->taken();
+        holder.manager->onLeaseAcquired();
         return holder;
     }
 
--- a/modules/peerlink/PeerLinksMembership_test.cpp
+++ b/modules/peerlink/PeerLinksMembership_test.cpp
@@ -79,7 +79,7 @@
         member.membership->setSeeds({members.front()->membership->self().address});
         member.links->setFrameHandler([this, &member](const PeerAddress &, const std::string &f) {
             if (frameChannel(f) == FrameChannel::Membership)
-                member.membership->receive(now_, f);
+                member.membership->handleFrame(now_, f);
         });
     }
 
--- a/modules/peerlink/link/PeerEndpoints.h
+++ b/modules/peerlink/link/PeerEndpoints.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "peerlink/auth/FrameSeal.h"
 
 #include <websocketpp/client.hpp>
--- a/modules/policybench/policy/CuminrailPolicy.cpp
+++ b/modules/policybench/policy/CuminrailPolicy.cpp
@@ -102,13 +102,13 @@
 
 void CuminrailPolicy::receiveLoads(const std::string &frame, Millis now)
 {
-    exchange_->receive(frame, loads_, now);
+    exchange_->handleFrame(frame, loads_, now);
 }
 
 void CuminrailPolicy::receive(const std::string &frame, Millis now)
 {
     now_ = now;
-    ledger_->receive(frame, now);
+    ledger_->handleFrame(frame, now);
 }
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/roles/RoleControl.cpp
+++ b/modules/policybench/roles/RoleControl.cpp
@@ -20,7 +20,7 @@
 std::vector<RoleChange> RoleControl::decide(const std::vector<RoleEngine> &engines, Millis now)
 {
     const double passed = std::max(1.0, static_cast<double>((now - decidedAt_).count()));
-    const ModelMix mix{promptMs_ / passed, answerMs_ / passed};
+    const ModelDemand mix{promptMs_ / passed, answerMs_ / passed};
     promptMs_ = 0;
     answerMs_ = 0;
     decidedAt_ = now;
@@ -30,12 +30,12 @@
         return followMix(engines, mix);
     RoleInput input;
     input.engines = engines;
-    input.mix[workload_.settings.fleet.models[0].id] = mix;
+    input.demand[workload_.settings.fleet.models[0].id] = mix;
     return balancer_.decide(now, input);
 }
 
 std::vector<RoleChange> RoleControl::followMix(const std::vector<RoleEngine> &engines,
-                                               const ModelMix &mix) const
+                                               const ModelDemand &mix) const
 {
     const double sum = mix.prefillEngines + mix.decodeEngines;
     if (sum <= 0)
--- a/modules/policybench/roles/RoleControl.h
+++ b/modules/policybench/roles/RoleControl.h
@@ -32,11 +32,11 @@
 
 private:
     std::vector<RoleChange> followMix(const std::vector<RoleEngine> &engines,
-                                      const ModelMix &mix) const;
+                                      const ModelDemand &mix) const;
 
     RolePolicy policy_;
     const Workload &workload_;
-    RoleBalancer balancer_{RoleTiming()};
+    RoleBalancer balancer_{RoleBalancerOptions()};
     double promptMs_ = 0;
     double answerMs_ = 0;
     Millis decidedAt_;
--- a/modules/quarantine/messages/QuarantineMessages.cpp
+++ b/modules/quarantine/messages/QuarantineMessages.cpp
@@ -1,6 +1,6 @@
 #include "quarantine/messages/QuarantineMessages.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <algorithm>
 
@@ -31,21 +31,21 @@
 
 std::optional<Suspicion> decodeSuspicion(const json &value)
 {
-    CborArray elements(value);
+    CborArrayReader elements(value);
     const auto fingerprint =
         RequestFingerprint::fromText(elements.name(RequestFingerprint::digits));
     const json &incarnations = elements.list(SuspicionTable::maxEnded);
     const std::uint64_t remaining = elements.number(SuspicionTable::retention.count());
-    if (!fingerprint || !elements.isWhole() || incarnations.empty())
+    if (!fingerprint || !elements.isFullyRead() || incarnations.empty())
         return std::nullopt;
     Suspicion suspicion{*fingerprint, {}, Millis(static_cast<std::int64_t>(remaining))};
-    CborArray ended(incarnations);
+    CborArrayReader ended(incarnations);
     for (std::size_t i = 0; i < incarnations.size(); ++i)
         suspicion.ended.push_back(ended.number());
-    return ended.isWhole() ? std::optional<Suspicion>(std::move(suspicion)) : std::nullopt;
+    return ended.isFullyRead() ? std::optional<Suspicion>(std::move(suspicion)) : std::nullopt;
 }
 
-std::optional<QuarantineMessage> decodeAnnouncement(CborArray &message)
+std::optional<QuarantineMessage> decodeAnnouncement(CborArrayReader &message)
 {
     SuspicionAnnouncement announcement;
     announcement.isReport = message.boolean();
@@ -58,7 +58,7 @@
     return announcement;
 }
 
-std::optional<QuarantineMessage> decodeCleared(CborArray &message)
+std::optional<QuarantineMessage> decodeCleared(CborArrayReader &message)
 {
     const auto fingerprint = RequestFingerprint::fromText(message.name(RequestFingerprint::digits));
     if (!fingerprint)
@@ -66,7 +66,7 @@
     return SuspicionCleared{*fingerprint};
 }
 
-std::optional<QuarantineMessage> decodeMessage(CborArray &message)
+std::optional<QuarantineMessage> decodeMessage(CborArrayReader &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
     case Tag::Announcement:
--- a/modules/quarantine/messages/QuarantineMessages_test.cpp
+++ b/modules/quarantine/messages/QuarantineMessages_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 #include "quarantine/messages/QuarantineMessages.h"
 
 using namespace cuminrail;
--- a/modules/quotas/messages/QuotaMessages.cpp
+++ b/modules/quotas/messages/QuotaMessages.cpp
@@ -1,6 +1,6 @@
 #include "quotas/messages/QuotaMessages.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 namespace cuminrail {
 
@@ -28,7 +28,7 @@
     return json::array({Tag::Charge, charge.customer, charge.cost, charge.isGivenBack});
 }
 
-std::optional<QuotaMessage> decodeMessage(CborArray &message)
+std::optional<QuotaMessage> decodeMessage(CborArrayReader &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
     case Tag::Query: {
--- a/modules/readingbooks/messages/PrefillMessages.cpp
+++ b/modules/readingbooks/messages/PrefillMessages.cpp
@@ -1,6 +1,6 @@
 #include "readingbooks/messages/PrefillMessages.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <algorithm>
 #include <cmath>
@@ -36,17 +36,17 @@
     return links;
 }
 
-PromptChain decodeChain(CborArray &message)
+PromptChain decodeChain(CborArrayReader &message)
 {
     PromptChain chain;
     chain.tokens = static_cast<std::uint32_t>(message.number(maxTokens));
-    CborArray links(message.list(2 * PrefillMessageLimits::links));
-    while (links.isGood() && !links.isWhole()) {
+    CborArrayReader links(message.list(2 * PrefillMessageLimits::links));
+    while (links.isValid() && !links.isFullyRead()) {
         const std::uint64_t key = links.number();
         const auto tokens = static_cast<std::uint32_t>(links.number(maxTokens));
         chain.links.push_back({key, tokens});
     }
-    if (!links.isGood())
+    if (!links.isValid())
         message.fail();
     return chain;
 }
@@ -83,25 +83,25 @@
     return json::array({Tag::End, end.number, end.engine, end.wasPrefilled});
 }
 
-PrefillQuery decodeQuery(CborArray &message)
+PrefillQuery decodeQuery(CborArrayReader &message)
 {
     PrefillQuery query;
     query.number = message.number();
     query.chain = decodeChain(message);
-    CborArray engines(message.list(PrefillMessageLimits::engines));
-    while (engines.isGood() && !engines.isWhole())
+    CborArrayReader engines(message.list(PrefillMessageLimits::engines));
+    while (engines.isValid() && !engines.isFullyRead())
         query.engines.push_back(engines.number());
-    if (!engines.isGood())
+    if (!engines.isValid())
         message.fail();
     return query;
 }
 
-PrefillReply decodeReply(CborArray &message)
+PrefillReply decodeReply(CborArrayReader &message)
 {
     PrefillReply reply;
     reply.number = message.number();
-    CborArray estimates(message.list(elementsPerEstimate * PrefillMessageLimits::engines));
-    while (estimates.isGood() && !estimates.isWhole()) {
+    CborArrayReader estimates(message.list(elementsPerEstimate * PrefillMessageLimits::engines));
+    while (estimates.isValid() && !estimates.isFullyRead()) {
         ReadingOffer estimate;
         estimate.waitMillis = static_cast<double>(estimates.number(maxMillis));
         estimate.freshTokens = static_cast<double>(estimates.number(maxTokens));
@@ -110,12 +110,12 @@
         estimate.isComplete = estimates.boolean();
         reply.estimates.push_back(estimate);
     }
-    if (!estimates.isGood())
+    if (!estimates.isValid())
         message.fail();
     return reply;
 }
 
-PrefillStart decodeStart(CborArray &message)
+PrefillStart decodeStart(CborArrayReader &message)
 {
     PrefillStart start;
     start.number = message.number();
@@ -127,7 +127,7 @@
     return start;
 }
 
-PrefillEnd decodeEnd(CborArray &message)
+PrefillEnd decodeEnd(CborArrayReader &message)
 {
     PrefillEnd end;
     end.number = message.number();
@@ -136,7 +136,7 @@
     return end;
 }
 
-std::optional<PrefillMessage> decodeMessage(CborArray &message)
+std::optional<PrefillMessage> decodeMessage(CborArrayReader &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
     case Tag::Query:
--- a/modules/routing/peers/LoadExchange.cpp
+++ b/modules/routing/peers/LoadExchange.cpp
@@ -110,7 +110,7 @@
         send_(entry.first, frame);
 }
 
-void LoadExchange::receive(std::string_view frame, LiveLoads &loads, Millis now)
+void LoadExchange::handleFrame(std::string_view frame, LiveLoads &loads, Millis now)
 {
     const auto message = decodeLoadMessage(frame);
     if (!message)
--- a/modules/routing/peers/LoadExchange.h
+++ b/modules/routing/peers/LoadExchange.h
@@ -82,7 +82,7 @@
     void poll(const LiveLoads &loads, Millis now);
 
     /** Handles a message from a peer. Malformed messages and unknown senders are ignored. */
-    void receive(std::string_view frame, LiveLoads &loads, Millis now);
+    void handleFrame(std::string_view frame, LiveLoads &loads, Millis now);
 
     /** Returns true while recent loads of all peers replace the reports. */
     bool hasAllPeerLoads(Millis now) const;
--- a/modules/routing/peers/LoadExchange_test.cpp
+++ b/modules/routing/peers/LoadExchange_test.cpp
@@ -66,7 +66,7 @@
         instances[from]->sent.clear();
         instances[from]->exchange.poll(instances[from]->loads, now);
         REQUIRE(instances[from]->sent.size() == 2);
-        instances[to]->exchange.receive(instances[from]->sent[0], instances[to]->loads, now);
+        instances[to]->exchange.handleFrame(instances[from]->sent[0], instances[to]->loads, now);
     }
 
     std::vector<std::unique_ptr<Instance>> instances;
@@ -118,8 +118,8 @@
     group.deliver(0, 2, start + Millis(100));
     group.deliver(1, 2, start + Millis(100));
     auto &receiver = *group.instances[2];
-    receiver.exchange.receive(old, receiver.loads, start + Millis(110));
-    receiver.exchange.receive("nonsense", receiver.loads, start + Millis(110));
+    receiver.exchange.handleFrame(old, receiver.loads, start + Millis(110));
+    receiver.exchange.handleFrame("nonsense", receiver.loads, start + Millis(110));
     CHECK(group.live(2, "x").othersRequests == 1);
     CHECK_FALSE(decodeLoadMessage("\x80").has_value());
 }
--- a/modules/scenario/world/ScenarioInstance.cpp
+++ b/modules/scenario/world/ScenarioInstance.cpp
@@ -72,10 +72,10 @@
 void ScenarioInstance::buildFleet()
 {
     for (const Zone &zone : world_.zones()) {
-        FleetKeeper::Hooks hooks{world_.store.port(process_), world_.fleetPort(*this), clock(),
-                                 world_.scheduler.random(),   ignoreEvents(),          {}};
+        FleetManager::Hooks hooks{world_.store.port(process_), world_.fleetPort(*this), clock(),
+                                  world_.scheduler.random(),   ignoreEvents(),          {}};
         hooks.authority = authorityFor(ScenarioWorld::domainDuty(zone.domain));
-        zones_[zone] = std::make_unique<FleetKeeper>(zone, std::move(hooks));
+        zones_[zone] = std::make_unique<FleetManager>(zone, std::move(hooks));
     }
 }
 
@@ -124,15 +124,15 @@
 {
     for (auto &[domain, keeper] : orders_) {
         if (duty == ScenarioWorld::domainDuty(domain))
-            isHeld ? keeper->taken() : keeper->lost();
+            isHeld ? keeper->onLeaseAcquired() : keeper->onLeaseLost();
     }
     for (auto &[zone, keeper] : zones_) {
         if (duty == ScenarioWorld::domainDuty(zone.domain))
-            isHeld ? keeper->taken() : keeper->lost();
+            isHeld ? keeper->onLeaseAcquired() : keeper->onLeaseLost();
     }
     for (auto &[team, reporter] : reporters_) {
         if (duty == ScenarioWorld::teamDuty(team))
-            isHeld ? reporter->taken() : reporter->lost();
+            isHeld ? reporter->onLeaseAcquired() : reporter->onLeaseLost();
     }
 }
 
@@ -179,8 +179,8 @@
 void ScenarioInstance::pursueTargets()
 {
     for (const auto &[zone, count] : world_.wantedTargets()) {
-        FleetKeeper &keeper = *zones_.at(zone);
-        const auto last = keeper.last();
+        FleetManager &keeper = *zones_.at(zone);
+        const auto last = keeper.lastRecord();
         if (keeper.isIdle() && (!last || last->count != count))
             keeper.request(count, nullptr);
     }
--- a/modules/scenario/world/ScenarioInstance.h
+++ b/modules/scenario/world/ScenarioInstance.h
@@ -67,7 +67,7 @@
     FakeProcessPtr process_;
     std::unique_ptr<LeaseKeeper> leases_;
     std::map<FailureDomainId, std::unique_ptr<OrderKeeper>> orders_;
-    std::map<Zone, std::unique_ptr<FleetKeeper>> zones_;
+    std::map<Zone, std::unique_ptr<FleetManager>> zones_;
     std::unique_ptr<ScenarioCalls> calls_;
     std::map<TeamId, std::unique_ptr<UsageFlusher>> flushers_;
     std::map<TeamId, std::unique_ptr<UsageReporter>> reporters_;
--- a/modules/upstreamlimits/messages/LimitMessages.cpp
+++ b/modules/upstreamlimits/messages/LimitMessages.cpp
@@ -1,6 +1,6 @@
 #include "upstreamlimits/messages/LimitMessages.h"
 
-#include "membership/messages/CborArray.h"
+#include "membership/messages/CborArrayReader.h"
 
 #include <algorithm>
 #include <cmath>
@@ -44,7 +44,7 @@
 
 std::optional<AnnouncedLimit> decodeLimit(const json &value)
 {
-    CborArray elements(value);
+    CborArrayReader elements(value);
     AnnouncedLimit announced;
     announced.incarnation = elements.number();
     const bool isLimited = elements.boolean();
@@ -52,10 +52,10 @@
     if (isLimited)
         announced.perSecond = rate;
     announced.age = Millis(static_cast<std::int64_t>(elements.number(Limits::millis)));
-    return elements.isWhole() ? std::optional<AnnouncedLimit>(announced) : std::nullopt;
+    return elements.isFullyRead() ? std::optional<AnnouncedLimit>(announced) : std::nullopt;
 }
 
-std::optional<LimitMessage> decodeAnnouncement(CborArray &message)
+std::optional<LimitMessage> decodeAnnouncement(CborArrayReader &message)
 {
     LimitAnnouncement announcement;
     announcement.isReport = message.boolean();
@@ -68,7 +68,7 @@
     return announcement;
 }
 
-std::optional<LimitMessage> decodeMessage(CborArray &message)
+std::optional<LimitMessage> decodeMessage(CborArrayReader &message)
 {
     switch (static_cast<Tag>(message.number(0xff))) {
     case Tag::Announcement:
--- a/modules/usage/seal/UsageReporter.cpp
+++ b/modules/usage/seal/UsageReporter.cpp
@@ -25,13 +25,13 @@
     };
 }
 
-void UsageReporter::taken()
+void UsageReporter::onLeaseAcquired()
 {
-    lost();
+    onLeaseLost();
     isActive_ = true;
 }
 
-void UsageReporter::lost()
+void UsageReporter::onLeaseLost()
 {
     ++epoch_;
     isActive_ = false;
--- a/modules/usage/seal/UsageReporter.h
+++ b/modules/usage/seal/UsageReporter.h
@@ -64,9 +64,9 @@
     UsageReporter &operator=(const UsageReporter &) = delete;
 
     /** The lease of the duty was acquired. */
-    void taken();
+    void onLeaseAcquired();
     /** The lease of the duty was lost or is being released. */
-    void lost();
+    void onLeaseLost();
     /** Performs due work. */
     void tick();
 
--- a/modules/usage/seal/UsageReporter_test.cpp
+++ b/modules/usage/seal/UsageReporter_test.cpp
@@ -69,7 +69,7 @@
     void assignDuty(Node &node, FenceNumber fence, Millis span)
     {
         node.lease = Authority{fence, scheduler.now() + span};
-        node.reporter->taken();
+        node.reporter->onLeaseAcquired();
     }
 
     void run(Millis span)
