--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -188,12 +188,12 @@
 
 void Gateway::onReadinessRequest(const std::shared_ptr<HttpExchange> &exchange)
 {
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = isReady() ? 200 : 503;
     exchange->respond(answer);
 }
 
-HttpAnswer Gateway::problemAnswer(int status, const Reason &reason) const
+HttpResponse Gateway::problemAnswer(int status, const Reason &reason) const
 {
     const auto retryAfter = status == 503 ? std::optional<Millis>(Millis(500)) : std::nullopt;
     return wire_.ownAnswer(status, {}, retryAfter, reason.toString());
@@ -294,7 +294,7 @@
     drainStartedAt_ = environment_.clock.now();
     onDrained_ = std::move(onDrained);
     environment_.events(Event{&events::processStopping, {{"instance", settings_.name}}});
-    callers_.closeAfterAnswers();
+    callers_.closeAfterResponses();
     lease_.release();
     registry_.leave();
 }
--- a/modules/gateway/Gateway.h
+++ b/modules/gateway/Gateway.h
@@ -84,7 +84,7 @@
     static RegisteredInstance registrationOf(const InstanceSettings &settings);
     void onRequest(const std::shared_ptr<HttpExchange> &exchange);
     void onReadinessRequest(const std::shared_ptr<HttpExchange> &exchange);
-    HttpAnswer problemAnswer(int status, const Reason &reason) const;
+    HttpResponse problemAnswer(int status, const Reason &reason) const;
     void applyLimits();
     void armTick();
     void tick();
--- a/modules/gateway/GatewayWire.h
+++ b/modules/gateway/GatewayWire.h
@@ -76,8 +76,8 @@
     std::function<AnswerTraits(const HttpHead &)> decodeAnswer;
     std::function<std::vector<HttpHeader>(const HttpHead &)> callerHeaders;
     /** Builds a response that the gateway itself generates. */
-    std::function<HttpAnswer(int status, const std::string &requestId,
-                             std::optional<Millis> retryAfter, const std::string &why)>
+    std::function<HttpResponse(int status, const std::string &requestId,
+                               std::optional<Millis> retryAfter, const std::string &why)>
         ownAnswer;
     std::function<std::optional<CacheHandle>(const std::string &body, Reason *)> decodeCacheHandle;
     std::function<std::string(const std::string &handle, const UpstreamEntry &)>
--- a/modules/gateway/admin/GatewayAdmin.cpp
+++ b/modules/gateway/admin/GatewayAdmin.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-HttpAnswer textAnswer(int status, std::string body, const char *type = "text/plain")
+HttpResponse textAnswer(int status, std::string body, const char *type = "text/plain")
 {
     return {status, {{"Content-Type", type}}, std::move(body)};
 }
@@ -32,7 +32,7 @@
     return server_.listen(host, port, false, lastReason);
 }
 
-HttpAnswer GatewayAdmin::handleRequest(const HttpHead &head) const
+HttpResponse GatewayAdmin::handleRequest(const HttpHead &head) const
 {
     const std::string_view path = head.path();
     if (head.method != "GET" && head.method != "HEAD")
@@ -50,7 +50,7 @@
     return textAnswer(404, "no such page\n");
 }
 
-HttpAnswer GatewayAdmin::configuration(std::string_view target) const
+HttpResponse GatewayAdmin::configuration(std::string_view target) const
 {
     constexpr std::string_view name = "?after=";
     const auto at = target.find(name);
@@ -59,7 +59,7 @@
         std::from_chars(target.data() + at + name.size(), target.data() + target.size(), version);
     std::string text = pages_.configurationAfter(version);
     if (text.empty())
-        return HttpAnswer{204, {}, {}};
+        return HttpResponse{204, {}, {}};
     return textAnswer(200, std::move(text), "application/json");
 }
 
--- a/modules/gateway/admin/GatewayAdmin.h
+++ b/modules/gateway/admin/GatewayAdmin.h
@@ -33,8 +33,8 @@
     bool listen(const std::string &host, std::uint16_t port, Reason *lastReason);
 
 private:
-    HttpAnswer handleRequest(const HttpHead &head) const;
-    HttpAnswer configuration(std::string_view target) const;
+    HttpResponse handleRequest(const HttpHead &head) const;
+    HttpResponse configuration(std::string_view target) const;
 
     AdminPages pages_;
     HttpServer server_;
--- a/modules/gateway/peers/PeerFabric.cpp
+++ b/modules/gateway/peers/PeerFabric.cpp
@@ -30,7 +30,7 @@
     config.maxLinks = 512;
     config.maxQueuedFrames = 64;
     config.maxQueuedBytes = 64 * 1024;
-    config.silentAfter = Millis(4000);
+    config.receiveTimeout = Millis(4000);
     config.pingAfter = Millis(2000);
     return config;
 }
--- a/modules/gateway/request/RelayEnd.cpp
+++ b/modules/gateway/request/RelayEnd.cpp
@@ -130,7 +130,7 @@
         exchange_->finish();
     } else {
         noteFirstResponse();
-        HttpAnswer answer;
+        HttpResponse answer;
         answer.status = attempt_.status;
         answer.headers = std::move(attempt_.headers);
         answer.body = std::move(attempt_.body);
--- a/modules/gateway/request/RelaySend.cpp
+++ b/modules/gateway/request/RelaySend.cpp
@@ -68,7 +68,7 @@
     if (!cacheSource.empty())
         context_.engines.handedOver(*attempt_.choice, *inbound_.prompt, context_.now());
     fields.cacheSource = std::move(cacheSource);
-    sseReader_.restart();
+    sseReader_.discardPartial();
     send(attempt_.upstream, fields, silenceTimeout());
 }
 
@@ -85,7 +85,7 @@
     request.isEchoRequired = false;
     request.isHead = exchange_->head().method == "HEAD";
     request.allowsEndByClose = true;
-    request.longestIdle = route_->isRepeatable() ? maxIdleRepeatable : maxIdleUnrepeatable;
+    request.maxIdleTime = route_->isRepeatable() ? maxIdleRepeatable : maxIdleUnrepeatable;
     request.timeouts.connect = std::min(connectTimeout, fields.timeLeft);
     // While no response has begun, onSilence() decides; this timeout is only a backstop.
     request.timeouts.firstByte = fields.timeLeft + Millis::seconds(1);
--- a/modules/gateway/request/RequestRelay.cpp
+++ b/modules/gateway/request/RequestRelay.cpp
@@ -59,7 +59,7 @@
         return;
     if (endIfQuarantined())
         return;
-    exchange_->onCallerLeft([self = shared_from_this()] { self->onCallerLeft(); });
+    exchange_->onCallerDisconnected([self = shared_from_this()] { self->onCallerDisconnected(); });
     requestQuota();
 }
 
@@ -212,7 +212,7 @@
         UpstreamEndKind::Silent, verdict, {upstream->entry.address, "no answer in time"}});
 }
 
-void RequestRelay::onCallerLeft()
+void RequestRelay::onCallerDisconnected()
 {
     if (hasEnded_)
         return;
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -160,7 +160,7 @@
 
     void onDeadline();
     void onSilence();
-    void onCallerLeft();
+    void onCallerDisconnected();
     void refuse(int status, GiveUpCause cause, std::optional<Millis> retryAfter,
                 const std::string &why);
     void giveUp(GiveUpCause cause, const std::string &why);
--- a/modules/instance/Instance.cpp
+++ b/modules/instance/Instance.cpp
@@ -124,7 +124,7 @@
 {
     for (const auto &worker : workers_) {
         worker->post([&server = worker->server()] {
-            server.closeAfterAnswers();
+            server.closeAfterResponses();
             server.stopListening();
         });
     }
--- a/modules/instance/admin/AdminServer.cpp
+++ b/modules/instance/admin/AdminServer.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-HttpAnswer jsonAnswer(int status, const nlohmann::json &value)
+HttpResponse jsonAnswer(int status, const nlohmann::json &value)
 {
     return {status, {{"Content-Type", "application/json"}}, value.dump() + "\n"};
 }
 
-HttpAnswer problem(int status, const std::string &message)
+HttpResponse problem(int status, const std::string &message)
 {
     return jsonAnswer(status, {{"error", {{"message", message}}}});
 }
@@ -42,7 +42,7 @@
     return server_.listen(address.address, address.port, false, lastReason);
 }
 
-HttpAnswer AdminServer::answer(const HttpHead &head)
+HttpResponse AdminServer::answer(const HttpHead &head)
 {
     const std::string_view path = head.path();
     if (path == "/drain") {
@@ -64,14 +64,14 @@
     return problem(404, "there is nothing at this path");
 }
 
-HttpAnswer AdminServer::readiness() const
+HttpResponse AdminServer::readiness() const
 {
     const auto missing = control_.missingForReadiness();
     return jsonAnswer(missing.empty() ? 200 : 503,
                       {{"ready", missing.empty()}, {"missing", missing}});
 }
 
-HttpAnswer AdminServer::metrics() const
+HttpResponse AdminServer::metrics() const
 {
     std::vector<const RequestCounters *> counters;
     for (const auto &worker : workers_)
@@ -81,7 +81,7 @@
             metricsPage(counters, control_.context().config)};
 }
 
-HttpAnswer AdminServer::state() const
+HttpResponse AdminServer::state() const
 {
     nlohmann::json page = statePage(control_.context(), workers_);
     page.update(control_.describe());
--- a/modules/instance/admin/AdminServer.h
+++ b/modules/instance/admin/AdminServer.h
@@ -25,10 +25,10 @@
     std::uint16_t port() const { return server_.port(); }
 
 private:
-    HttpAnswer answer(const HttpHead &head);
-    HttpAnswer readiness() const;
-    HttpAnswer metrics() const;
-    HttpAnswer state() const;
+    HttpResponse answer(const HttpHead &head);
+    HttpResponse readiness() const;
+    HttpResponse metrics() const;
+    HttpResponse state() const;
 
     ControlPlane &control_;
     std::vector<std::unique_ptr<RequestWorker>> &workers_;
--- a/modules/instance/request/AnswerRelay.cpp
+++ b/modules/instance/request/AnswerRelay.cpp
@@ -124,13 +124,13 @@
     if (hasStarted_)
         return exchange_->finish();
     hasStarted_ = true;
-    exchange_->respond(HttpAnswer{status_, callerHeaders(), held_});
+    exchange_->respond(HttpResponse{status_, callerHeaders(), held_});
 }
 
 void AnswerRelay::discard()
 {
     held_.clear();
-    events_.restart();
+    events_.discardPartial();
     isOutOfOrder_ = false;
     nextEvent_ = 0;
     status_ = 0;
@@ -143,7 +143,7 @@
         return exchange_->respond(errorAnswer(refusal, requestId_));
     }
     if (isEventStream_)
-        return exchange_->finishCut("data: " + errorBody(refusal) + "\n\n");
+        return exchange_->finishTruncated("data: " + errorBody(refusal) + "\n\n");
     exchange_->abort();
 }
 
--- a/modules/instance/request/AnswerRelay.h
+++ b/modules/instance/request/AnswerRelay.h
@@ -52,7 +52,7 @@
     /** Forgets an answer of which nothing was passed on. */
     void discard();
     /** Drops half an event before the stream is continued over another connection. */
-    void prepareResume() { events_.restart(); }
+    void prepareResume() { events_.discardPartial(); }
 
     /** Passes on the whole answer that is held back. */
     void respondHeld();
--- a/modules/instance/request/AtMostOnce_test.cpp
+++ b/modules/instance/request/AtMostOnce_test.cpp
@@ -31,7 +31,7 @@
         const ReceivedRequest request = connection.read();
         if (request.text.empty())
             return;
-        const std::string answer = plainAnswer(request.header("X-Request-Id"), "{\"ran\":true}");
+        const std::string answer = plainResponse(request.header("X-Request-Id"), "{\"ran\":true}");
         switch (numberOf(request) % 40) {
         case 1:
             return connection.socket.reset();
--- a/modules/instance/request/BadRequests_test.cpp
+++ b/modules/instance/request/BadRequests_test.cpp
@@ -288,7 +288,7 @@
             if (request.text.empty())
                 return;
             finish.wait();
-            connection.socket.send(plainAnswer(request.header("X-Request-Id"), "{}"));
+            connection.socket.send(plainResponse(request.header("X-Request-Id"), "{}"));
         }
     });
     RunningInstance running(testSettings({engine.address()}, {}), config);
--- a/modules/instance/request/ErrorAnswer.cpp
+++ b/modules/instance/request/ErrorAnswer.cpp
@@ -77,9 +77,9 @@
                                                  nlohmann::json::error_handler_t::replace);
 }
 
-HttpAnswer errorAnswer(const Refusal &refusal, const std::string &requestId)
+HttpResponse errorAnswer(const Refusal &refusal, const std::string &requestId)
 {
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.status = errorStatus(refusal.code);
     answer.headers.push_back({"Content-Type", "application/json"});
     answer.headers.push_back({"X-Request-Id", requestId});
--- a/modules/instance/request/ErrorAnswer.h
+++ b/modules/instance/request/ErrorAnswer.h
@@ -57,6 +57,6 @@
 std::string errorBody(const Refusal &refusal);
 
 /** Returns the whole answer, with identity, verdict and Retry-After. */
-HttpAnswer errorAnswer(const Refusal &refusal, const std::string &requestId);
+HttpResponse errorAnswer(const Refusal &refusal, const std::string &requestId);
 
 } // namespace cuminrail
--- a/modules/instance/request/RequestFlow.cpp
+++ b/modules/instance/request/RequestFlow.cpp
@@ -116,9 +116,9 @@
         return;
     if (plan_.kind == RequestKind::ModelList)
         return listModels();
-    exchange_->onCallerLeft([self = weak_from_this()] {
+    exchange_->onCallerDisconnected([self = weak_from_this()] {
         if (const auto flow = self.lock())
-            flow->onCallerLeft();
+            flow->onCallerDisconnected();
     });
     if (plan_.deadline != Millis::never())
         deadline_.setAt(plan_.deadline);
@@ -151,7 +151,7 @@
             list["data"].push_back(
                 {{"id", model.text()}, {"object", "model"}, {"owned_by", "cuminrail"}});
     }
-    HttpAnswer answer;
+    HttpResponse answer;
     answer.headers = {{"Content-Type", "application/json"},
                       {"X-Request-Id", requestId_},
                       {"X-Cuminrail-Verdict", std::string(verdictNames.name(Verdict::Ran))}};
@@ -204,7 +204,7 @@
 
 void RequestFlow::replay(const StoredAnswer &answer)
 {
-    HttpAnswer whole;
+    HttpResponse whole;
     whole.status = static_cast<int>(answer.status);
     if (!answer.contentType.empty())
         whole.headers.push_back({"Content-Type", answer.contentType});
@@ -513,7 +513,7 @@
     routingTicket_ = RoutingTicket{};
 }
 
-void RequestFlow::onCallerLeft()
+void RequestFlow::onCallerDisconnected()
 {
     const auto self = shared_from_this();
     isCallerGone_ = true;
--- a/modules/instance/request/RequestFlow.h
+++ b/modules/instance/request/RequestFlow.h
@@ -57,7 +57,7 @@
     bool tryResume();
     void onResumeHead(HttpHead &head);
     void cancelAtEngine();
-    void onCallerLeft();
+    void onCallerDisconnected();
     void onDeadline();
     void refuse(const Refusal &refusal);
     void failAfterAttempts(const Refusal &refusal);
--- a/modules/instance/request/RequestFlow_test.cpp
+++ b/modules/instance/request/RequestFlow_test.cpp
@@ -22,7 +22,7 @@
 /** Returns an answer that lacks its last bytes. */
 std::string halfAnswer(const std::string &id)
 {
-    const std::string whole = plainAnswer(id, "{\"text\":\"half\"}");
+    const std::string whole = plainResponse(id, "{\"text\":\"half\"}");
     return whole.substr(0, whole.size() - 5);
 }
 
@@ -48,7 +48,7 @@
     ClaimOutcome waitForOutcome(const std::string &token)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        changed_.wait_for(lock, std::chrono::seconds(patienceSeconds),
+        changed_.wait_for(lock, std::chrono::seconds(testTimeoutSeconds),
                           [&] { return outcomes_.count(token) > 0; });
         return outcomes_[token];
     }
@@ -237,7 +237,7 @@
             if (kind == Kind::Gap)
                 connection.socket.send(streamHead(id) + chunk(event(3, "four")));
             if (kind == Kind::Unknown || kind == Kind::EndsEarly)
-                connection.socket.send(plainAnswer(id, "{}", "404 Not Found"));
+                connection.socket.send(plainResponse(id, "{}", "404 Not Found"));
             connection.read();
         });
         InstanceConfig config = testConfig();
@@ -280,18 +280,18 @@
         {"another request's answer",
          [](Connection &connection) {
              connection.read();
-             connection.socket.send(plainAnswer("someone-else", "{\"text\":\"secret\"}"));
+             connection.socket.send(plainResponse("someone-else", "{\"text\":\"secret\"}"));
              connection.read();
          }},
         {"500",
          [](Connection &connection) {
              const std::string id = connection.read().header("X-Request-Id");
-             connection.socket.send(plainAnswer(id, "{}", "500 Internal Server Error"));
+             connection.socket.send(plainResponse(id, "{}", "500 Internal Server Error"));
          }},
         {"refuses with 503",
          [](Connection &connection) {
              const std::string id = connection.read().header("X-Request-Id");
-             connection.socket.send(plainAnswer(id, "{}", "503 Service Unavailable"));
+             connection.socket.send(plainResponse(id, "{}", "503 Service Unavailable"));
          }},
         {"silent for good",
          [](Connection &connection) {
@@ -366,7 +366,7 @@
         {"another request's answer",
          [](Connection &connection) {
              connection.read();
-             connection.socket.send(plainAnswer("someone-else", "{}"));
+             connection.socket.send(plainResponse("someone-else", "{}"));
              connection.read();
          },
          "may-have-run"},
@@ -424,7 +424,7 @@
     ScriptedUpstream service([&](Connection &connection) {
         const std::string id = connection.read().header("X-Request-Id");
         callerLeft.wait();
-        connection.socket.send(plainAnswer(id, "{\"lodged\":true}"));
+        connection.socket.send(plainResponse(id, "{\"lodged\":true}"));
         connection.read();
     });
     RunningInstance running(testSettings({}, {service.address()}), testConfig(), claims.hooks());
@@ -451,7 +451,7 @@
     ScriptedUpstream service([&](Connection &connection) {
         const std::string id = connection.read().header("X-Request-Id");
         nextSent.wait();
-        connection.socket.send(plainAnswer(id, "{\"lodged\":\"late\"}"));
+        connection.socket.send(plainResponse(id, "{\"lodged\":\"late\"}"));
         connection.read();
     });
     Signal lateRecorded;
@@ -459,7 +459,7 @@
         const std::string id = connection.read().header("X-Request-Id");
         nextSent.set();
         lateRecorded.wait();
-        connection.socket.send(plainAnswer(id, "{\"text\":\"mine\"}"));
+        connection.socket.send(plainResponse(id, "{\"text\":\"mine\"}"));
         connection.read();
     });
     RunningInstance running(testSettings({engine.address()}, {service.address()}), testConfig(),
@@ -486,7 +486,7 @@
         const ReceivedRequest request = connection.read();
         const std::string id = request.header("X-Request-Id");
         if (request.startsWith("DELETE")) {
-            connection.socket.send(plainAnswer(id, "{}"));
+            connection.socket.send(plainResponse(id, "{}"));
             return;
         }
         connection.socket.send(streamHead(id) + chunk(event(0, "one") + event(1, "two")));
@@ -515,7 +515,7 @@
         const std::string id = request.header("X-Request-Id");
         if (request.startsWith("DELETE"))
             return;
-        connection.socket.setPatience(1);
+        connection.socket.setTimeout(1);
         connection.socket.send(streamHead(id));
         std::uint64_t number = 0;
         while (written < enough
--- a/modules/instance/request/RequestWorker.cpp
+++ b/modules/instance/request/RequestWorker.cpp
@@ -108,7 +108,7 @@
     return hooks;
 }
 
-std::optional<HttpAnswer> RequestWorker::judgeHead(const HttpHead &head)
+std::optional<HttpResponse> RequestWorker::judgeHead(const HttpHead &head)
 {
     Refusal refusal;
     {
@@ -126,7 +126,7 @@
     return std::nullopt;
 }
 
-HttpAnswer RequestWorker::problemAnswer(int status, const Reason &reason)
+HttpResponse RequestWorker::problemAnswer(int status, const Reason &reason)
 {
     return refused({codeOfProblem(status),
                     reason.toString(),
@@ -135,7 +135,7 @@
                     status == 503 ? Millis::seconds(1) : Millis(0)});
 }
 
-HttpAnswer RequestWorker::refused(const Refusal &refusal)
+HttpResponse RequestWorker::refused(const Refusal &refusal)
 {
     const std::string id = nextRequestId();
     RequestCounters::add(counters_.errors[static_cast<std::size_t>(refusal.code)]);
--- a/modules/instance/request/RequestWorker.h
+++ b/modules/instance/request/RequestWorker.h
@@ -65,9 +65,9 @@
 
 private:
     HttpServerHooks serverHooks();
-    std::optional<HttpAnswer> judgeHead(const HttpHead &head);
-    HttpAnswer problemAnswer(int status, const Reason &reason);
-    HttpAnswer refused(const Refusal &refusal);
+    std::optional<HttpResponse> judgeHead(const HttpHead &head);
+    HttpResponse problemAnswer(int status, const Reason &reason);
+    HttpResponse refused(const Refusal &refusal);
 
     ServingContext &context_;
     AdmissionDesk &admission_;
--- a/modules/instance/testing/InstanceFixture.h
+++ b/modules/instance/testing/InstanceFixture.h
@@ -24,7 +24,7 @@
             return;
         const std::string id = request.header("X-Request-Id");
         if (request.text.find("\"stream\":true") == std::string::npos) {
-            connection.socket.send(plainAnswer(
+            connection.socket.send(plainResponse(
                 id,
                 "{\"text\":\"whole\",\"usage\":{\"prompt_tokens\":7,\"completion_tokens\":3}}"));
             continue;
@@ -41,7 +41,7 @@
         const ReceivedRequest request = connection.read();
         if (request.text.empty())
             return;
-        connection.socket.send(plainAnswer(request.header("X-Request-Id"), "{\"lodged\":true}"));
+        connection.socket.send(plainResponse(request.header("X-Request-Id"), "{\"lodged\":true}"));
     }
 }
 
@@ -160,7 +160,7 @@
     std::vector<UsageRecord> waitForUsage(std::size_t count)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        changed_.wait_for(lock, std::chrono::seconds(patienceSeconds),
+        changed_.wait_for(lock, std::chrono::seconds(testTimeoutSeconds),
                           [&] { return usage_.size() >= count; });
         return usage_;
     }
--- a/modules/net/http/SseReader.h
+++ b/modules/net/http/SseReader.h
@@ -41,7 +41,7 @@
     bool feed(std::string_view bytes);
 
     /** Discards an incomplete event before the stream is resumed. */
-    void restart() { partial_.clear(); }
+    void discardPartial() { partial_.clear(); }
 
     /** Returns true when bytes of an incomplete event are buffered. */
     bool hasPartial() const { return !partial_.empty(); }
--- a/modules/net/server/HttpExchange.h
+++ b/modules/net/server/HttpExchange.h
@@ -11,7 +11,7 @@
 namespace cuminrail {
 
 /** A complete response. Length and connection headers are added when it is sent. */
-struct HttpAnswer
+struct HttpResponse
 {
     int status = 200;
     std::vector<HttpHeader> headers;
@@ -35,20 +35,20 @@
     /** The request's body; may be moved from. */
     virtual std::string &body() = 0;
 
-    virtual void respond(const HttpAnswer &response) = 0;
+    virtual void respond(const HttpResponse &response) = 0;
     virtual void beginStream(int status, const std::vector<HttpHeader> &headers) = 0;
     virtual void write(std::string_view data) = 0;
     virtual void finish() = 0;
     /** Ends a stream with a TCP reset, so that the caller cannot mistake it for complete. */
     virtual void abort() = 0;
     /** Sends final data, then closes without the last chunk that marks a complete stream. */
-    virtual void finishCut(std::string_view finalData) = 0;
+    virtual void finishTruncated(std::string_view finalData) = 0;
 
     /** Returns true while the caller reads too slowly; wait for onWritable before writing more. */
     virtual bool isCongested() const = 0;
     virtual void onWritable(std::function<void()> hook) = 0;
     /** Sets the hook called when the caller closed the connection or stopped reading too long. */
-    virtual void onCallerLeft(std::function<void()> hook) = 0;
+    virtual void onCallerDisconnected(std::function<void()> hook) = 0;
 };
 
 } // namespace cuminrail
--- a/modules/net/server/HttpServer.h
+++ b/modules/net/server/HttpServer.h
@@ -49,10 +49,10 @@
 struct HttpServerHooks
 {
     /** Checks a head before the body is read; returning a response rejects the request. */
-    std::function<std::optional<HttpAnswer>(const HttpHead &)> onHead;
+    std::function<std::optional<HttpResponse>(const HttpHead &)> onHead;
     std::function<void(const std::shared_ptr<HttpExchange> &)> onRequest;
     /** Returns the response to bytes that are no valid request or that arrived too slowly. */
-    std::function<HttpAnswer(int status, const Reason &)> onProblem;
+    std::function<HttpResponse(int status, const Reason &)> onProblem;
 };
 
 /** Load of several servers together, for their common limits. */
@@ -122,7 +122,7 @@
     const HttpServerLimits &limits() const { return limits_; }
 
     /** Closes each connection after its next response, announced by "Connection: close". */
-    void closeAfterAnswers() { isClosing_ = true; }
+    void closeAfterResponses() { isClosing_ = true; }
     /** Accepts the connections in the kernel's queue, then closes the listening socket. */
     void stopListening();
     /** Closes connections on which no request is in progress. */
--- a/modules/net/server/ServerConnection.cpp
+++ b/modules/net/server/ServerConnection.cpp
@@ -57,7 +57,7 @@
     });
 }
 
-void ServerConnection::refuse(const HttpAnswer &response)
+void ServerConnection::refuse(const HttpResponse &response)
 {
     stream_->handshake(
         [self = shared_from_this(), response](const boost::system::error_code &error) {
@@ -213,7 +213,7 @@
         server_.hooks_.onProblem(statusOf(problem.kind, server_.limits_), problem.reason));
 }
 
-void ServerConnection::rejectAndClose(const HttpAnswer &response)
+void ServerConnection::rejectAndClose(const HttpResponse &response)
 {
     isKeepAlive_ = false;
     state_ = State::Responding;
@@ -249,7 +249,7 @@
         queue_ += "Connection: keep-alive\r\n";
 }
 
-void ServerConnection::respond(const HttpAnswer &response)
+void ServerConnection::respond(const HttpResponse &response)
 {
     if (state_ != State::Responding)
         return;
--- a/modules/net/server/ServerConnection.h
+++ b/modules/net/server/ServerConnection.h
@@ -25,10 +25,10 @@
     void close();
     bool isBusy() const { return state_ != State::Idle && state_ != State::Closed; }
     /** Sends the response for a connection over the limit, then closes it. */
-    void refuse(const HttpAnswer &response);
+    void refuse(const HttpResponse &response);
 
     // Called by the exchange of the request in progress.
-    void respond(const HttpAnswer &response);
+    void respond(const HttpResponse &response);
     void beginStream(int status, const std::vector<HttpHeader> &headers);
     void write(std::string_view data);
     void finish();
@@ -54,7 +54,7 @@
     void checkHead();
     void onRequestComplete();
     void rejectMalformed(const HttpProblem &problem);
-    void rejectAndClose(const HttpAnswer &response);
+    void rejectAndClose(const HttpResponse &response);
     void appendHead(int status, const std::vector<HttpHeader> &headers);
     void flush();
     void onWritten(const boost::system::error_code &error, std::size_t size);
--- a/modules/net/server/ServerExchange.cpp
+++ b/modules/net/server/ServerExchange.cpp
@@ -16,7 +16,7 @@
         || !guardEnabled(Guard::AnswerBoundToRequest);
 }
 
-void ServerExchange::respond(const HttpAnswer &response)
+void ServerExchange::respond(const HttpResponse &response)
 {
     if (isCurrent())
         connection_->respond(response);
@@ -46,7 +46,7 @@
         connection_->abort();
 }
 
-void ServerExchange::finishCut(std::string_view finalData)
+void ServerExchange::finishTruncated(std::string_view finalData)
 {
     if (isCurrent())
         connection_->finishTruncated(finalData);
@@ -63,7 +63,7 @@
         connection_->onWritable(std::move(hook));
 }
 
-void ServerExchange::onCallerLeft(std::function<void()> hook)
+void ServerExchange::onCallerDisconnected(std::function<void()> hook)
 {
     if (isCurrent())
         connection_->onCallerDisconnected(std::move(hook));
--- a/modules/net/server/ServerExchange.h
+++ b/modules/net/server/ServerExchange.h
@@ -13,15 +13,15 @@
 
     const HttpHead &head() const override { return head_; }
     std::string &body() override { return body_; }
-    void respond(const HttpAnswer &response) override;
+    void respond(const HttpResponse &response) override;
     void beginStream(int status, const std::vector<HttpHeader> &headers) override;
     void write(std::string_view data) override;
     void finish() override;
     void abort() override;
-    void finishCut(std::string_view finalData) override;
+    void finishTruncated(std::string_view finalData) override;
     bool isCongested() const override;
     void onWritable(std::function<void()> hook) override;
-    void onCallerLeft(std::function<void()> hook) override;
+    void onCallerDisconnected(std::function<void()> hook) override;
 
 private:
     bool isCurrent() const;
--- a/modules/net/testing/ScriptedUpstream.h
+++ b/modules/net/testing/ScriptedUpstream.h
@@ -119,7 +119,7 @@
     bool waitForRequests(std::size_t count)
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        return changed_.wait_for(lock, std::chrono::seconds(patienceSeconds),
+        return changed_.wait_for(lock, std::chrono::seconds(testTimeoutSeconds),
                                  [&] { return received_.size() >= count; });
     }
 
@@ -198,7 +198,7 @@
     bool wait()
     {
         std::unique_lock<std::mutex> lock(mutex_);
-        return changed_.wait_for(lock, std::chrono::seconds(patienceSeconds),
+        return changed_.wait_for(lock, std::chrono::seconds(testTimeoutSeconds),
                                  [this] { return isSet_; });
     }
 
@@ -209,8 +209,8 @@
 };
 
 /** Returns a complete response with a length that echoes an attempt's identity. */
-inline std::string plainAnswer(const std::string &requestId, const std::string &body,
-                               const std::string &status = "200 OK")
+inline std::string plainResponse(const std::string &requestId, const std::string &body,
+                                 const std::string &status = "200 OK")
 {
     return "HTTP/1.1 " + status + "\r\nContent-Type: application/json\r\nX-Request-Id: " + requestId
         + "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
--- a/modules/net/testing/TestSocket.h
+++ b/modules/net/testing/TestSocket.h
@@ -16,14 +16,14 @@
 namespace cuminrail::testing {
 
 /** Time-out of tests for events that normally happen much sooner. */
-inline constexpr int patienceSeconds = 20;
+inline constexpr int testTimeoutSeconds = 20;
 
 /** A blocking loopback connection for tests that control each byte. */
 class TestSocket
 {
 public:
     TestSocket() = default;
-    explicit TestSocket(int handle) : handle_(handle) { setPatience(patienceSeconds); }
+    explicit TestSocket(int handle) : handle_(handle) { setTimeout(testTimeoutSeconds); }
     ~TestSocket() { close(); }
     TestSocket(TestSocket &&other) noexcept
         : handle_(std::exchange(other.handle_, -1)), input_(std::move(other.input_))
@@ -128,7 +128,7 @@
             ::close(std::exchange(handle_, -1));
     }
 
-    void setPatience(int seconds)
+    void setTimeout(int seconds)
     {
         const timeval limit{seconds, 0};
         setsockopt(handle_, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
--- a/modules/net/upstream/UpstreamCall.h
+++ b/modules/net/upstream/UpstreamCall.h
@@ -47,7 +47,7 @@
     /** Sends nothing: checks that a connection can be made, and keeps it for later requests. */
     bool isProbe = false;
     /** Maximum idle time of a reused connection; middleboxes drop the state of older ones. */
-    Millis longestIdle = Millis::never();
+    Millis maxIdleTime = Millis::never();
     /** Accepts a response delimited only by an orderly connection close. */
     bool allowsEndByClose = false;
     UpstreamTimeouts timeouts;
--- a/modules/net/upstream/UpstreamPool.cpp
+++ b/modules/net/upstream/UpstreamPool.cpp
@@ -80,7 +80,7 @@
         found->second.pop_back();
         // An engine's response is recognised by its identity. A service's may have none, so the
         // socket is checked for bytes of a late response.
-        const bool isIdleTooLong = deadlines_.now() - connection->idleSince() > request.longestIdle;
+        const bool isIdleTooLong = deadlines_.now() - connection->idleSince() > request.maxIdleTime;
         if (!isIdleTooLong && (request.isEchoRequired || !connection->isStale()))
             return connection;
         connection->close();
--- a/modules/net/upstream/UpstreamPool_test.cpp
+++ b/modules/net/upstream/UpstreamPool_test.cpp
@@ -64,7 +64,7 @@
         };
         auto future = ended->get_future();
         thread_.post([this, request, hooks] { pool_->start(request, hooks); });
-        REQUIRE(future.wait_for(std::chrono::seconds(patienceSeconds))
+        REQUIRE(future.wait_for(std::chrono::seconds(testTimeoutSeconds))
                 == std::future_status::ready);
         return *result;
     }
@@ -97,7 +97,7 @@
         if (request.text.empty())
             return;
         const std::string id = request.header("X-Request-Id");
-        connection.socket.send(plainAnswer(id, "for " + id));
+        connection.socket.send(plainResponse(id, "for " + id));
     }
 }
 
@@ -188,7 +188,7 @@
             return respondToAll(connection);
         const ReceivedRequest request = connection.read();
         timedOut.wait();
-        connection.socket.send(plainAnswer(request.header("X-Request-Id"), "late"));
+        connection.socket.send(plainResponse(request.header("X-Request-Id"), "late"));
         connection.read();
     });
     Client client;
@@ -218,8 +218,8 @@
                               "Content-Length: 2\r\n\r\nhi";
     const std::string without = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi";
     const Row rows[] = {
-        {"another identity", plainAnswer("other", "hi"), true, UpstreamEndKind::WrongIdentity},
-        {"another identity, service", plainAnswer("other", "hi"), false,
+        {"another identity", plainResponse("other", "hi"), true, UpstreamEndKind::WrongIdentity},
+        {"another identity, service", plainResponse("other", "hi"), false,
          UpstreamEndKind::WrongIdentity},
         {"two identities", twice, true, UpstreamEndKind::WrongIdentity},
         {"none, engine", without, true, UpstreamEndKind::WrongIdentity},
@@ -251,8 +251,8 @@
             if (connection.number > 1)
                 return respondToAll(connection);
             connection.read();
-            const std::string surplus = plainAnswer("second", "stray");
-            connection.socket.send(plainAnswer("first", "whole")
+            const std::string surplus = plainResponse("second", "stray");
+            connection.socket.send(plainResponse("first", "whole")
                                    + (isTogether ? surplus : std::string()));
             if (!isTogether)
                 connection.socket.send(surplus);
@@ -322,7 +322,7 @@
 {
     ScriptedUpstream upstream([](ScriptedUpstream::Connection &connection) {
         connection.read();
-        connection.socket.send("HTTP/1.1 100 Continue\r\n\r\n" + plainAnswer("x", "whole"));
+        connection.socket.send("HTTP/1.1 100 Continue\r\n\r\n" + plainResponse("x", "whole"));
         connection.read();
     });
     Client client;
--- a/modules/peerlink/PeerLinks.cpp
+++ b/modules/peerlink/PeerLinks.cpp
@@ -391,7 +391,7 @@
     const Millis receiveAge = now - link.lastReceivedAt();
     // A middlebox may drop the state of an open connection: neither FIN nor RST arrives and frames
     // are lost, while a new connection would work. Only received data shows that a link is alive.
-    if (receiveAge >= config_.silentAfter && guardEnabled(Guard::SilentLinkReplaced)) {
+    if (receiveAge >= config_.receiveTimeout && guardEnabled(Guard::SilentLinkReplaced)) {
         ++stats_.silent;
         events_(Event{&events::peerLinkReplaced, {{"peer", link.peer()}}});
         return true;
@@ -406,7 +406,7 @@
 void PeerLinks::dropExpiredQueues(Millis now)
 {
     for (auto entry = queues_.begin(); entry != queues_.end();) {
-        const bool isExpired = now >= entry->second.nonEmptySince + config_.silentAfter;
+        const bool isExpired = now >= entry->second.nonEmptySince + config_.receiveTimeout;
         if (isExpired)
             stats_.dropped += entry->second.frames.size();
         entry = isExpired ? queues_.erase(entry) : std::next(entry);
--- a/modules/peerlink/link/PeerLink.h
+++ b/modules/peerlink/link/PeerLink.h
@@ -20,7 +20,7 @@
     /** A link that received nothing for this long is pinged. */
     Millis pingAfter{5000};
     /** A link that received nothing for this long is closed and counted as silent. */
-    Millis silentAfter{10000};
+    Millis receiveTimeout{10000};
     /** A link that carried no frame for this long is closed. */
     Millis idleTimeout{60000};
     /** Minimum time between two attempts to connect to a peer. */
--- a/modules/standin/engine/StandinEngine.cpp
+++ b/modules/standin/engine/StandinEngine.cpp
@@ -44,7 +44,7 @@
     return prompt;
 }
 
-Json plainAnswer(const EngineRun &run)
+Json plainResponse(const EngineRun &run)
 {
     const CompletionRequest &request = run.request;
     std::string text;
@@ -140,7 +140,7 @@
     if (run->isCancelled)
         exchange->reset();
     else if (run->isFinished())
-        exchange->answer(200, plainAnswer(*run), {{"X-Request-Id", run->request.requestId}});
+        exchange->answer(200, plainResponse(*run), {{"X-Request-Id", run->request.requestId}});
     else
         run->waiters.push_back([this, exchange, run] { answerPlain(exchange, run); });
 }
--- a/modules/standin/platform/StandinPlatform.cpp
+++ b/modules/standin/platform/StandinPlatform.cpp
@@ -184,7 +184,7 @@
     const auto drop = [this, weak] {
         watches_.remove_if([&weak](const Watch &w) { return w.exchange == weak.lock(); });
     };
-    exchange->onCallerLeft = drop;
+    exchange->onCallerDisconnected = drop;
     watch->timer.async_wait([this, weak](boost::system::error_code error) {
         const auto due = std::find_if(watches_.begin(), watches_.end(), [&weak](const Watch &w) {
             return w.exchange == weak.lock();
--- a/modules/standin/server/Exchange.cpp
+++ b/modules/standin/server/Exchange.cpp
@@ -164,8 +164,8 @@
         return;
     isOver_ = true;
     record_.ending = Ending::CallerLeft;
-    if (onCallerLeft)
-        onCallerLeft();
+    if (onCallerDisconnected)
+        onCallerDisconnected();
 }
 
 void Exchange::beginEvents(const Headers &headers)
--- a/modules/standin/server/Exchange.h
+++ b/modules/standin/server/Exchange.h
@@ -62,7 +62,7 @@
     void endEvents();
 
     /** Called once when the caller closes the connection before the answer is whole. */
-    std::function<void()> onCallerLeft;
+    std::function<void()> onCallerDisconnected;
 
     /** Called by the connection when the caller left. */
     void callerLeft();
--- a/programs/cuminrail-soak/Callers.cpp
+++ b/programs/cuminrail-soak/Callers.cpp
@@ -91,7 +91,7 @@
         if (!socket.isOpen() || random() % 8 == 0) {
             socket = testing::TestSocket::connectTo(ports_[random() % ports_.size()]);
             if (socket.isOpen())
-                socket.setPatience(socketPatienceSeconds);
+                socket.setTimeout(socketPatienceSeconds);
         }
         result.sentAt = bootTime();
         const auto began = std::chrono::steady_clock::now();
