--- a/modules/dataplane/fleet/UpstreamHealth.cpp
+++ b/modules/dataplane/fleet/UpstreamHealth.cpp
@@ -29,7 +29,7 @@
     state.badShare = ejectionThreshold;
 }
 
-bool UpstreamHealth::isSetAside(const std::string &upstream, Millis now) const
+bool UpstreamHealth::isEjected(const std::string &upstream, Millis now) const
 {
     const auto found = states_.find(upstream);
     if (found == states_.end())
--- a/modules/dataplane/fleet/UpstreamHealth.h
+++ b/modules/dataplane/fleet/UpstreamHealth.h
@@ -53,7 +53,7 @@
         after bad outcomes, and then until its single trial request has ended. Without the limit to
         one, all current requests would be trials and wait for an upstream that may still be dead.
     */
-    bool isSetAside(const std::string &upstream, Millis now) const;
+    bool isEjected(const std::string &upstream, Millis now) const;
     /** Returns the share of recent bad outcomes, 0 to 1. */
     double badShare(const std::string &upstream) const;
     void forget(const std::string &upstream) { states_.erase(upstream); }
--- a/modules/dataplane/fleet/UpstreamHealth_test.cpp
+++ b/modules/dataplane/fleet/UpstreamHealth_test.cpp
@@ -10,13 +10,13 @@
 {
     UpstreamHealth health;
     health.record("a", AttemptSign::Broken, Millis(0));
-    CHECK_FALSE(health.isSetAside("a", Millis(0)));
+    CHECK_FALSE(health.isEjected("a", Millis(0)));
     health.record("a", AttemptSign::Broken, Millis(10));
-    CHECK(health.isSetAside("a", Millis(500)));
-    CHECK_FALSE(health.isSetAside("a", Millis(1500)));
+    CHECK(health.isEjected("a", Millis(500)));
+    CHECK_FALSE(health.isEjected("a", Millis(1500)));
     health.record("a", AttemptSign::Broken, Millis(1500));
-    CHECK(health.isSetAside("a", Millis(3000)));
-    CHECK_FALSE(health.isSetAside("a", Millis(3600)));
+    CHECK(health.isEjected("a", Millis(3000)));
+    CHECK_FALSE(health.isEjected("a", Millis(3600)));
 }
 
 // Guards against an ejection because of overload or of error responses alone.
@@ -60,26 +60,26 @@
     UpstreamHealth health;
     health.record("a", AttemptSign::Broken, Millis(0));
     health.record("a", AttemptSign::Broken, Millis(0));
-    REQUIRE(health.isSetAside("a", Millis(900)));
-    REQUIRE_FALSE(health.isSetAside("a", Millis(1001)));
+    REQUIRE(health.isEjected("a", Millis(900)));
+    REQUIRE_FALSE(health.isEjected("a", Millis(1001)));
     health.started("a", Millis(1001));
-    CHECK(health.isSetAside("a", Millis(1002)));
+    CHECK(health.isEjected("a", Millis(1002)));
     SUBCASE("it fails")
     {
         health.record("a", AttemptSign::Broken, Millis(1400));
-        CHECK(health.isSetAside("a", Millis(3300)));
-        CHECK_FALSE(health.isSetAside("a", Millis(3401)));
+        CHECK(health.isEjected("a", Millis(3300)));
+        CHECK_FALSE(health.isEjected("a", Millis(3401)));
     }
     SUBCASE("it succeeds")
     {
         health.record("a", AttemptSign::Good, Millis(1100));
-        CHECK_FALSE(health.isSetAside("a", Millis(1101)));
+        CHECK_FALSE(health.isEjected("a", Millis(1101)));
         health.started("a", Millis(1102));
-        CHECK_FALSE(health.isSetAside("a", Millis(1103)));
+        CHECK_FALSE(health.isEjected("a", Millis(1103)));
     }
     SUBCASE("there is no outcome")
     {
-        CHECK_FALSE(health.isSetAside("a", Millis(3100)));
+        CHECK_FALSE(health.isEjected("a", Millis(3100)));
     }
 }
 
--- a/modules/dataplane/model/UpstreamEntry.h
+++ b/modules/dataplane/model/UpstreamEntry.h
@@ -45,7 +45,7 @@
     EngineStage stage = EngineStage::Whole;
 
     /** Equal at all instances; differs after a restart under the same id. */
-    UpstreamIncarnation life() const
+    UpstreamIncarnation incarnation() const
     {
         return StableHash().add(id).add(static_cast<std::uint64_t>(startedAt)).value();
     }
--- a/modules/dataplane/placement/EnginePlacement.cpp
+++ b/modules/dataplane/placement/EnginePlacement.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-ReadingRate &EnginePlacement::rateOf(const UpstreamEntry &entry)
+PrefillRateEstimator &EnginePlacement::rateOf(const UpstreamEntry &entry)
 {
     return entry.stage == EngineStage::Prefill ? prefillRate_ : decodeRate_;
 }
@@ -41,7 +41,7 @@
     return weights_.domainMillisPerKilobyte * kilobytes;
 }
 
-double EnginePlacement::estimateFreshTokens(const EngineMemory &memory, const PromptChain &chain,
+double EnginePlacement::estimateFreshTokens(const EngineTracker &memory, const PromptChain &chain,
                                             std::size_t homeRank) const
 {
     const double cachedTokens = memory.cachedTokens(chain);
@@ -92,7 +92,7 @@
     for (const RankedEngine &next : rankByAffinity(engines, stage, query, chain)) {
         if (eligible.size() >= maxCandidates)
             break;
-        const bool isEjected = query.isSetAside((*next.engine)->entry.id);
+        const bool isEjected = query.isEjected((*next.engine)->entry.id);
         (isEjected ? ejected : eligible).push_back(*next.engine);
     }
     if (eligible.empty() && stage != EngineStage::Prefill)
@@ -101,7 +101,7 @@
     candidates.reserve(eligible.size());
     for (std::size_t rank = 0; rank < eligible.size(); ++rank) {
         const UpstreamEntry &entry = eligible[rank]->entry;
-        const EngineMemory &tracker = trackerOf(entry.id);
+        const EngineTracker &tracker = trackerOf(entry.id);
         const auto estimate = query.offer ? query.offer(entry.id) : std::nullopt;
         double freshTokens = estimateFreshTokens(tracker, chain, rank);
         if (estimate)
@@ -200,8 +200,8 @@
 }
 
 std::vector<UpstreamPointer>
-EnginePlacement::likelyReaders(const std::vector<UpstreamPointer> &engines,
-                               const PlacementQuery &query, std::size_t maxCount)
+EnginePlacement::rankPrefillEngines(const std::vector<UpstreamPointer> &engines,
+                                    const PlacementQuery &query, std::size_t maxCount)
 {
     auto candidates =
         evaluate(engines, EngineStage::Prefill, query, PromptChain::of(*query.prompt));
@@ -232,8 +232,8 @@
     return least == candidates.end() ? nullptr : least->engine;
 }
 
-UpstreamPointer EnginePlacement::chooseRunner(const std::vector<UpstreamPointer> &engines,
-                                              const PlacementQuery &query)
+UpstreamPointer EnginePlacement::chooseDecodeEngine(const std::vector<UpstreamPointer> &engines,
+                                                    const PlacementQuery &query)
 {
     return leastLoadedDecodeEngine(
         evaluate(engines, EngineStage::Decode, query, PromptChain::of(*query.prompt)), query);
@@ -241,7 +241,7 @@
 
 void EnginePlacement::moved(EngineChoice &choice, const UpstreamPointer &engine, Millis now)
 {
-    EngineMemory &previous = trackerOf(choice.engine->entry.id);
+    EngineTracker &previous = trackerOf(choice.engine->entry.id);
     previous.responseAbandoned(choice.decodeResponseId, now);
     previous.requestFinished(0, true);
     choice.engine = engine;
@@ -253,7 +253,7 @@
 {
     const PromptChain chain = PromptChain::of(prompt);
     const UpstreamPointer &prefillEngine = choice.prefill ? choice.prefill : choice.engine;
-    EngineMemory &prefillTracker = trackerOf(prefillEngine->entry.id);
+    EngineTracker &prefillTracker = trackerOf(prefillEngine->entry.id);
     prefillTracker.requestSent(choice.freshTokens);
     const double rate = rateOf(prefillEngine->entry).tokensPerMilli();
     choice.prefillResponseId = nextResponseId_++;
@@ -294,7 +294,7 @@
 
 void EnginePlacement::finished(EngineChoice &choice, bool wasPrefilled, Millis now)
 {
-    EngineMemory &decodeTracker = trackerOf(choice.engine->entry.id);
+    EngineTracker &decodeTracker = trackerOf(choice.engine->entry.id);
     decodeTracker.responseAbandoned(std::exchange(choice.decodeResponseId, 0), now);
     const UpstreamPointer &prefillEngine = choice.prefill ? choice.prefill : choice.engine;
     trackerOf(prefillEngine->entry.id)
@@ -304,7 +304,7 @@
         decodeTracker.requestFinished(0, true);
 }
 
-const EngineMemory *EnginePlacement::memory(const std::string &id) const
+const EngineTracker *EnginePlacement::memory(const std::string &id) const
 {
     const auto found = engines_.find(id);
     return found == engines_.end() ? nullptr : &found->second;
--- a/modules/dataplane/placement/EnginePlacement.h
+++ b/modules/dataplane/placement/EnginePlacement.h
@@ -2,8 +2,8 @@
 
 #include "dataplane/fleet/UpstreamDirectory.h"
 #include "dataplane/model/RequestMessages.h"
-#include "dataplane/placement/EngineMemory.h"
-#include "dataplane/placement/ReadingOffer.h"
+#include "dataplane/placement/EngineTracker.h"
+#include "dataplane/placement/PrefillEstimate.h"
 
 #include <functional>
 #include <set>
@@ -92,10 +92,10 @@
     bool allowsHandOver = true;
     /** Share of bad outcomes, and whether an engine is ejected; called for each candidate. */
     std::function<double(const std::string &id)> badShare;
-    std::function<bool(const std::string &id)> isSetAside;
+    std::function<bool(const std::string &id)> isEjected;
     /** Estimate of the engine's prefill tracker for this prompt, if it was queried; may be empty.
      */
-    std::function<std::optional<ReadingOffer>(const std::string &id)> offer;
+    std::function<std::optional<PrefillEstimate>(const std::string &id)> offer;
 };
 
 /**
@@ -121,19 +121,20 @@
                                        const PlacementQuery &query);
 
     /** Returns up to @p maxCount prefill engines in order of estimated cost, cheapest first. */
-    std::vector<UpstreamPointer> likelyReaders(const std::vector<UpstreamPointer> &engines,
-                                               const PlacementQuery &query, std::size_t maxCount);
+    std::vector<UpstreamPointer> rankPrefillEngines(const std::vector<UpstreamPointer> &engines,
+                                                    const PlacementQuery &query,
+                                                    std::size_t maxCount);
     /** Sets the current wait of a prompt at an engine, as its prefill tracker reported it. */
-    void told(const std::string &id, double waitMillis, Millis now)
+    void setReportedWait(const std::string &id, double waitMillis, Millis now)
     {
         trackerOf(id).setReportedWait(waitMillis, now);
     }
     /** Returns the estimated prefill rate of prefill engines. */
-    const ReadingRate &prefillRate() const { return prefillRate_; }
+    const PrefillRateEstimator &prefillRate() const { return prefillRate_; }
 
     /** Returns the decode engine for a prompt whose prefill has been completed. */
-    UpstreamPointer chooseRunner(const std::vector<UpstreamPointer> &engines,
-                                 const PlacementQuery &query);
+    UpstreamPointer chooseDecodeEngine(const std::vector<UpstreamPointer> &engines,
+                                       const PlacementQuery &query);
     /** Replaces the decode engine of a choice whose request has been sent. */
     void moved(EngineChoice &choice, const UpstreamPointer &engine, Millis now);
 
@@ -152,7 +153,7 @@
     /** Call when an engine has been removed, or has a new incarnation. */
     void forget(const std::string &id) { engines_.erase(id); }
 
-    const EngineMemory *memory(const std::string &id) const;
+    const EngineTracker *memory(const std::string &id) const;
 
 private:
     struct Candidate
@@ -173,13 +174,13 @@
     std::vector<RankedEngine> rankByAffinity(const std::vector<UpstreamPointer> &engines,
                                              EngineStage stage, const PlacementQuery &query,
                                              const PromptChain &chain) const;
-    ReadingRate &rateOf(const UpstreamEntry &entry);
-    EngineMemory &trackerOf(const std::string &id) { return engines_[id]; }
+    PrefillRateEstimator &rateOf(const UpstreamEntry &entry);
+    EngineTracker &trackerOf(const std::string &id) { return engines_[id]; }
     std::vector<Candidate> evaluate(const std::vector<UpstreamPointer> &engines, EngineStage stage,
                                     const PlacementQuery &query, const PromptChain &chain);
     UpstreamPointer leastLoadedDecodeEngine(const std::vector<Candidate> &candidates,
                                             const PlacementQuery &query);
-    double estimateFreshTokens(const EngineMemory &memory, const PromptChain &chain,
+    double estimateFreshTokens(const EngineTracker &memory, const PromptChain &chain,
                                std::size_t homeRank) const;
     void setEstimates(EngineChoice &choice, double waitMillis);
     void considerPrefixFetch(std::vector<Candidate> &candidates, const PlacementQuery &query,
@@ -187,10 +188,10 @@
     double crossDomainMillis(const UpstreamEntry &entry, const PlacementQuery &query) const;
 
     PlacementWeights weights_;
-    std::unordered_map<std::string, EngineMemory> engines_;
+    std::unordered_map<std::string, EngineTracker> engines_;
     /** Rates of prefill engines, and of all others. */
-    ReadingRate prefillRate_;
-    ReadingRate decodeRate_;
+    PrefillRateEstimator prefillRate_;
+    PrefillRateEstimator decodeRate_;
     /** Never reused: an engine that is removed and added again must not match old responses. */
     PendingResponseId nextResponseId_ = 1;
 };
--- a/modules/dataplane/placement/EnginePlacement_test.cpp
+++ b/modules/dataplane/placement/EnginePlacement_test.cpp
@@ -47,7 +47,7 @@
     result.ownDomain = "a";
     result.now = now;
     result.badShare = [](const std::string &) { return 0.0; };
-    result.isSetAside = [](const std::string &) { return false; };
+    result.isEjected = [](const std::string &) { return false; };
     return result;
 }
 
@@ -188,7 +188,7 @@
     EnginePlacement placement;
     const PromptShape shape = prompt("part", 100, 300);
     PlacementQuery placementQuery = query(shape);
-    placementQuery.isSetAside = [](const std::string &id) { return id == "d0"; };
+    placementQuery.isEjected = [](const std::string &id) { return id == "d0"; };
     CHECK(placement.choose(fleet(0, 2), placementQuery)->engine->entry.id == "d1");
     CHECK(placement.choose(fleet(0, 1), placementQuery)->engine->entry.id == "d0");
     const std::set<std::string> tried{"d0"};
@@ -228,7 +228,7 @@
         placement.finished(choice, false, Millis(0));
     }
     for (const auto &upstream : engines) {
-        const EngineMemory *memory = placement.memory(upstream->entry.id);
+        const EngineTracker *memory = placement.memory(upstream->entry.id);
         REQUIRE(memory != nullptr);
         CHECK(memory->running() == 0);
         CHECK(memory->openTokens() == doctest::Approx(0.0));
@@ -311,10 +311,10 @@
         const auto engines = fleet(2, 1);
         const PromptShape shape = prompt("part", 10000, 1000);
         PlacementQuery placementQuery = query(shape);
-        placementQuery.offer = [&](const std::string &id) -> std::optional<ReadingOffer> {
+        placementQuery.offer = [&](const std::string &id) -> std::optional<PrefillEstimate> {
             if (id == "p0")
-                return ReadingOffer{row.waitMillis, 1000, row.heldTokens, true};
-            return ReadingOffer{0, 11000, 0, true};
+                return PrefillEstimate{row.waitMillis, 1000, row.heldTokens, true};
+            return PrefillEstimate{0, 11000, 0, true};
         };
         const auto choice = placement.choose(engines, placementQuery);
         REQUIRE(choice);
@@ -340,8 +340,8 @@
         const auto withoutEstimate = placement.choose(engines, query(shape));
         REQUIRE(withoutEstimate);
         PlacementQuery placementQuery = query(shape);
-        placementQuery.offer = [&](const std::string &) -> std::optional<ReadingOffer> {
-            return ReadingOffer{0, 11000, 0, false, isComplete};
+        placementQuery.offer = [&](const std::string &) -> std::optional<PrefillEstimate> {
+            return PrefillEstimate{0, 11000, 0, false, isComplete};
         };
         const auto choice = placement.choose(engines, placementQuery);
         REQUIRE(choice);
--- a/modules/dataplane/placement/EngineMemory.cpp
+++ b/modules/dataplane/placement/EngineTracker.cpp
@@ -1,4 +1,4 @@
-#include "dataplane/placement/EngineMemory.h"
+#include "dataplane/placement/EngineTracker.h"
 
 #include <algorithm>
 #include <cmath>
@@ -17,14 +17,14 @@
 
 } // namespace
 
-void EngineMemory::requestSent(double freshTokens)
+void EngineTracker::requestSent(double freshTokens)
 {
     pendingTokens_ += freshTokens;
     tokensSinceReport_ += freshTokens;
     ++running_;
 }
 
-void ReadingRate::addSample(double freshTokens, Millis duration)
+void PrefillRateEstimator::addSample(double freshTokens, Millis duration)
 {
     const double millis = static_cast<double>(duration.count());
     const double overheadMillis = millis - freshTokens / rate_;
@@ -37,12 +37,12 @@
     rate_ += (observedRate > rate_ ? 0.06 : 0.015) * (observedRate - rate_);
 }
 
-void EngineMemory::expectResponse(PendingResponseId responseId, double expectedMillis, Millis now)
+void EngineTracker::expectResponse(PendingResponseId responseId, double expectedMillis, Millis now)
 {
     pendingResponses_.emplace(responseId, PendingResponse{now, expectedMillis});
 }
 
-void EngineMemory::responseArrived(PendingResponseId responseId, Millis now)
+void EngineTracker::responseArrived(PendingResponseId responseId, Millis now)
 {
     const auto found = pendingResponses_.find(responseId);
     if (found == pendingResponses_.end())
@@ -52,7 +52,7 @@
     pendingResponses_.erase(found);
 }
 
-void EngineMemory::responseAbandoned(PendingResponseId responseId, Millis now)
+void EngineTracker::responseAbandoned(PendingResponseId responseId, Millis now)
 {
     if (pendingResponses_.count(responseId) == 0)
         return;
@@ -61,13 +61,13 @@
     pendingResponses_.erase(responseId);
 }
 
-void EngineMemory::recordDelay(double delayMillis, Millis now)
+void EngineTracker::recordDelay(double delayMillis, Millis now)
 {
     delay_ = 0.5 * delayAt(now) + 0.5 * delayMillis;
     delayUpdatedAt_ = now;
 }
 
-double EngineMemory::overdueMillis(Millis now) const
+double EngineTracker::overdueMillis(Millis now) const
 {
     double maxOverdue = 0;
     for (const auto &[responseId, expected] : pendingResponses_)
@@ -77,38 +77,38 @@
     return maxOverdue;
 }
 
-void EngineMemory::prefillCompleted(double freshTokens)
+void EngineTracker::prefillCompleted(double freshTokens)
 {
     pendingTokens_ = std::max(0.0, pendingTokens_ - freshTokens);
 }
 
-void EngineMemory::requestFinished(double freshTokens, bool wasPrefilled)
+void EngineTracker::requestFinished(double freshTokens, bool wasPrefilled)
 {
     if (!wasPrefilled)
         pendingTokens_ = std::max(0.0, pendingTokens_ - freshTokens);
     running_ = std::max(0, running_ - 1);
 }
 
-void EngineMemory::requestRejected(Millis now)
+void EngineTracker::requestRejected(Millis now)
 {
     delay_ = std::max(delayAt(now), rejectionDelayMillis);
     delayUpdatedAt_ = now;
 }
 
-double EngineMemory::delayAt(Millis now) const
+double EngineTracker::delayAt(Millis now) const
 {
     const double age = static_cast<double>((now - delayUpdatedAt_).count());
     return delay_ * std::exp2(-age / delayHalfLifeMillis);
 }
 
-void EngineMemory::setReportedWait(double waitMillis, Millis now)
+void EngineTracker::setReportedWait(double waitMillis, Millis now)
 {
     reportedWait_ = waitMillis;
     reportedAt_ = now;
     tokensSinceReport_ = 0;
 }
 
-double EngineMemory::waitMillis(double rate, Millis now) const
+double EngineTracker::waitMillis(double rate, Millis now) const
 {
     if (reportedAt_ && now - *reportedAt_ < reportedWaitValidity) {
         const double remaining =
--- a/modules/dataplane/placement/EngineMemory.h
+++ b/modules/dataplane/placement/EngineTracker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/time/Millis.h"
-#include "dataplane/placement/RememberedParts.h"
+#include "dataplane/placement/PrefixCacheModel.h"
 
 #include <map>
 #include <optional>
@@ -15,7 +15,7 @@
     that include other instances' work, differ by a factor of two and draw prompts away from the
     engines that have their parts cached.
 */
-class ReadingRate
+class PrefillRateEstimator
 {
 public:
     /** Prompt tokens per millisecond, assumed until the first samples. */
@@ -46,7 +46,7 @@
     This instance's estimate of the state of one engine: the prompt parts that it sent there, its
     own pending work there, and the recent delay of its requests there.
 */
-class EngineMemory
+class EngineTracker
 {
 public:
     /** Half-life of the estimated delay by other instances' work. */
@@ -105,7 +105,7 @@
     double overdueMillis(Millis now) const;
     void recordDelay(double delayMillis, Millis now);
 
-    RememberedParts parts_;
+    PrefixCacheModel parts_;
     /** Prompt tokens sent by this instance whose prefill has not completed. */
     double pendingTokens_ = 0;
     int running_ = 0;
--- a/modules/dataplane/placement/LeastLoaded.cpp
+++ b/modules/dataplane/placement/LeastLoaded.cpp
@@ -24,7 +24,7 @@
         if (query.tried->count(id) > 0)
             continue;
         const double upstreamCost = cost(upstream->entry, query);
-        const bool isEjected = query.isSetAside(id);
+        const bool isEjected = query.isEjected(id);
         UpstreamPointer &bestOfGroup = isEjected ? bestEjected : best;
         double &lowestOfGroup = isEjected ? lowestEjectedCost : lowestCost;
         if (bestOfGroup == nullptr || upstreamCost < lowestOfGroup) {
--- a/modules/dataplane/placement/LeastLoaded.h
+++ b/modules/dataplane/placement/LeastLoaded.h
@@ -29,7 +29,7 @@
         std::string ownDomain;
         const std::set<std::string> *tried = nullptr;
         std::function<double(const std::string &id)> badShare;
-        std::function<bool(const std::string &id)> isSetAside;
+        std::function<bool(const std::string &id)> isEjected;
     };
 
     /** Returns the selected upstream, or null if none may get the request. */
--- a/modules/dataplane/placement/ReadingOffer.h
+++ b/modules/dataplane/placement/PrefillEstimate.h
@@ -3,7 +3,7 @@
 namespace cuminrail {
 
 /** Estimate of a prompt's prefill at an engine, from the engine's prefill tracker. */
-struct ReadingOffer
+struct PrefillEstimate
 {
     /** Time until the engine has completed the prefill of the prompts queued before. */
     double waitMillis = 0;
--- a/modules/dataplane/placement/RememberedParts.cpp
+++ b/modules/dataplane/placement/PrefixCacheModel.cpp
@@ -1,4 +1,4 @@
-#include "dataplane/placement/RememberedParts.h"
+#include "dataplane/placement/PrefixCacheModel.h"
 
 #include "core/hash/StableHash.h"
 
@@ -23,7 +23,7 @@
     return chain;
 }
 
-std::uint32_t RememberedParts::cachedTokens(const PromptChain &chain) const
+std::uint32_t PrefixCacheModel::cachedTokens(const PromptChain &chain) const
 {
     std::uint32_t cached = 0;
     for (const ChainLink &link : chain.links) {
@@ -34,7 +34,7 @@
     return cached;
 }
 
-void RememberedParts::remember(const PromptChain &chain)
+void PrefixCacheModel::remember(const PromptChain &chain)
 {
     for (const ChainLink &link : chain.links) {
         const auto found = byKey_.find(link.key);
--- a/modules/dataplane/placement/RememberedParts.h
+++ b/modules/dataplane/placement/PrefixCacheModel.h
@@ -34,13 +34,13 @@
     Engines evict the least recently used parts. So does this class, at a capacity below that of the
     engine, since running requests need some of its memory.
 */
-class RememberedParts
+class PrefixCacheModel
 {
 public:
     /** In tokens: the cache of present kinds of engines, less the memory for running requests. */
     static constexpr std::uint64_t defaultCapacity = 280000;
 
-    explicit RememberedParts(std::uint64_t capacity = defaultCapacity) : capacity_(capacity) { }
+    explicit PrefixCacheModel(std::uint64_t capacity = defaultCapacity) : capacity_(capacity) { }
 
     /** Returns how many of the prompt's tokens the engine probably has cached. */
     std::uint32_t cachedTokens(const PromptChain &chain) const;
--- a/modules/dataplane/retry/RetryAllowance.cpp
+++ b/modules/dataplane/retry/RetryAllowance.cpp
@@ -10,14 +10,14 @@
     }
 }
 
-void RetryAllowance::countFirst(const std::string &service, Millis now)
+void RetryAllowance::recordFirstAttempt(const std::string &service, Millis now)
 {
     Window &window = windows_[service];
     expire(window, now);
     window.firstAttempts.push_back(now);
 }
 
-bool RetryAllowance::takeRepeat(const std::string &service, Millis now)
+bool RetryAllowance::tryAcquireRetry(const std::string &service, Millis now)
 {
     Window &window = windows_[service];
     expire(window, now);
--- a/modules/dataplane/retry/RetryAllowance.h
+++ b/modules/dataplane/retry/RetryAllowance.h
@@ -37,9 +37,9 @@
 
     void setInstances(std::size_t count) { instances_ = count == 0 ? 1 : count; }
     /** Counts the first attempt of a request. */
-    void countFirst(const std::string &service, Millis now);
+    void recordFirstAttempt(const std::string &service, Millis now);
     /** Counts a retry and returns true if the limit allows it; otherwise returns false. */
-    bool takeRepeat(const std::string &service, Millis now);
+    bool tryAcquireRetry(const std::string &service, Millis now);
 
 private:
     struct Window
--- a/modules/dataplane/retry/RetryAllowance_test.cpp
+++ b/modules/dataplane/retry/RetryAllowance_test.cpp
@@ -20,9 +20,9 @@
     std::size_t retries = 0;
     for (int request = 0; request < 1200; ++request) {
         RetryAllowance &allowance = allowances[static_cast<std::size_t>(request) % instances];
-        allowance.countFirst("s", Millis(request * 8));
+        allowance.recordFirstAttempt("s", Millis(request * 8));
         ++firstAttempts;
-        while (allowance.takeRepeat("s", Millis(request * 8)))
+        while (allowance.tryAcquireRetry("s", Millis(request * 8)))
             ++retries;
     }
     CHECK(static_cast<double>(retries) <= 0.2 * static_cast<double>(firstAttempts) + 52);
@@ -36,12 +36,12 @@
     RetryAllowance allowance({0.0, Millis(10000), 10});
     allowance.setInstances(1);
     int acquired = 0;
-    while (allowance.takeRepeat("s", Millis(0)))
+    while (allowance.tryAcquireRetry("s", Millis(0)))
         ++acquired;
     CHECK(acquired == 6);
-    CHECK(allowance.takeRepeat("other", Millis(0)));
-    CHECK_FALSE(allowance.takeRepeat("s", Millis(10000)));
-    CHECK(allowance.takeRepeat("s", Millis(10001)));
+    CHECK(allowance.tryAcquireRetry("other", Millis(0)));
+    CHECK_FALSE(allowance.tryAcquireRetry("s", Millis(10000)));
+    CHECK(allowance.tryAcquireRetry("s", Millis(10001)));
 }
 
 // Guards against each instance taking the whole fixed part of the limit after a start, before it
@@ -50,7 +50,7 @@
 {
     RetryAllowance allowance({0.0, Millis(10000), 52});
     int acquired = 0;
-    while (allowance.takeRepeat("s", Millis(0)))
+    while (allowance.tryAcquireRetry("s", Millis(0)))
         ++acquired;
     CHECK(acquired == 1);
 }
--- a/modules/dataplane/waiting/HeldPrompts.h
+++ b/modules/dataplane/waiting/DeferredPrompts.h
@@ -9,7 +9,7 @@
 namespace cuminrail {
 
 /** The prompts that are deferred at an instance, by route and time of arrival. */
-class HeldPrompts
+class DeferredPrompts
 {
 public:
     void add(const std::string &route, Millis arrivedAt) { routes_[route].insert(arrivedAt); }
--- a/modules/dataplane/waiting/PromptDeferral.cpp
+++ b/modules/dataplane/waiting/PromptDeferral.cpp
@@ -21,7 +21,7 @@
         return PromptDecision::Send;
     const auto queueAge = static_cast<double>(outlook.queueAge.count());
     return queueAge + processingMillis > callerTimeout ? PromptDecision::Refuse
-                                                       : PromptDecision::Hold;
+                                                       : PromptDecision::Defer;
 }
 
 } // namespace cuminrail
--- a/modules/dataplane/waiting/PromptDeferral.h
+++ b/modules/dataplane/waiting/PromptDeferral.h
@@ -25,7 +25,7 @@
 enum class PromptDecision : std::uint8_t {
     Send,
     /** It would be late and make others late: it waits at the instance until an engine has room. */
-    Hold,
+    Defer,
     /**
         Its caller will disconnect before the first event, or the prompts deferred before it have
         waited here so long that it would wait in vain too.
--- a/modules/dataplane/waiting/PromptDeferral_test.cpp
+++ b/modules/dataplane/waiting/PromptDeferral_test.cpp
@@ -1,7 +1,7 @@
 #include <doctest/doctest.h>
 
 #include "dataplane/waiting/CallerPatience.h"
-#include "dataplane/waiting/HeldPrompts.h"
+#include "dataplane/waiting/DeferredPrompts.h"
 #include "dataplane/waiting/PromptDeferral.h"
 
 using namespace cuminrail;
@@ -22,8 +22,8 @@
     const Row rows[] = {
         {"an idle engine", 0, 300, 0, PromptDecision::Send},
         {"barely on time", 400, 700, 20, PromptDecision::Send},
-        {"late, and others wait at the engine", 500, 800, 0, PromptDecision::Hold},
-        {"late because it was deferred before", 100, 400, 400, PromptDecision::Hold},
+        {"late, and others wait at the engine", 500, 800, 0, PromptDecision::Defer},
+        {"late because it was deferred before", 100, 400, 400, PromptDecision::Defer},
         {"late only because of its own size", 0, 1500, 0, PromptDecision::Send},
         {"late, but the engine has room now", 40, 400, 1500, PromptDecision::Send},
         {"its caller disconnects before it could start", 500, 900, 2900, PromptDecision::Refuse},
@@ -31,7 +31,7 @@
          PromptDecision::Refuse},
         {"so long that its caller may disconnect, but the engine has room", 0, 5000, 5,
          PromptDecision::Send},
-        {"its caller still waits by then", 500, 700, 2900, PromptDecision::Hold},
+        {"its caller still waits by then", 500, 700, 2900, PromptDecision::Defer},
     };
     const PromptDeferral deferral;
     for (const Row &row : rows) {
@@ -62,7 +62,7 @@
         outlook.queueAge = Millis(queueAge);
         const bool cannotSucceed = queueAge + 400 > 3200;
         CHECK(deferral.decide(outlook)
-              == (cannotSucceed ? PromptDecision::Refuse : PromptDecision::Hold));
+              == (cannotSucceed ? PromptDecision::Refuse : PromptDecision::Defer));
         outlook.waitMillis = 0;
         outlook.firstEventMillis = 400;
         CHECK(deferral.decide(outlook) == PromptDecision::Send);
@@ -73,7 +73,7 @@
 // that is known, are removed.
 TEST_CASE("the age of a route's oldest deferred prompt follows additions and removals")
 {
-    HeldPrompts deferred;
+    DeferredPrompts deferred;
     CHECK(deferred.oldestAge("review", Millis(5000)) == Millis(0));
     deferred.add("review", Millis(1000));
     deferred.add("review", Millis(1000));
--- a/modules/emulation/engine/PartMemory.h
+++ b/modules/emulation/engine/PartMemory.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "dataplane/placement/EngineMemory.h"
+#include "dataplane/placement/EngineTracker.h"
 
 #include <list>
 #include <unordered_map>
--- a/modules/emulation/run/LoadRun.cpp
+++ b/modules/emulation/run/LoadRun.cpp
@@ -108,11 +108,11 @@
     query.allowsHandOver = flights_[index].allowsHandOver;
     query.offer = [&offers = flights_[index].offers](const std::string &id) {
         const auto found = offers.find(id);
-        return found == offers.end() ? std::nullopt : std::optional<ReadingOffer>(found->second);
+        return found == offers.end() ? std::nullopt : std::optional<PrefillEstimate>(found->second);
     };
     query.badShare = [&instance](const std::string &id) { return instance.health.badShare(id); };
-    query.isSetAside = [&instance, at = now()](const std::string &id) {
-        return instance.health.isSetAside(id, at);
+    query.isEjected = [&instance, at = now()](const std::string &id) {
+        return instance.health.isEjected(id, at);
     };
     return query;
 }
@@ -120,7 +120,7 @@
 bool LoadRun::mayRepeat(std::size_t index)
 {
     if (flights_[index].sends >= kindOf(index).maxAttempts
-        || !instanceOf(index).retries->takeRepeat(service, now()))
+        || !instanceOf(index).retries->tryAcquireRetry(service, now()))
         return false;
     ++repeats_;
     return true;
@@ -173,10 +173,10 @@
     flight.wasAsked = true;
     const PromptChain chain = PromptChain::of(requests_[index].prompt);
     const PlacementQuery query = queryFor(index);
-    for (const auto &reader : own->likelyReaders(fleet_.known(), query, asked)) {
+    for (const auto &reader : own->rankPrefillEngines(fleet_.known(), query, asked)) {
         const std::string &id = reader->entry.id;
         flight.offers[id] = books_[id].estimate(chain, now());
-        own->told(id, flight.offers[id].waitMillis, now());
+        own->setReportedWait(id, flight.offers[id].waitMillis, now());
     }
     flight.choice = own->choose(fleet_.known(), query);
     flight.offers.clear();
@@ -191,7 +191,7 @@
         return;
     flight.book = flight.choice->prefill->entry.id;
     flight.ticket.number = flight.job;
-    const ReadingRate &rate = own->prefillRate();
+    const PrefillRateEstimator &rate = own->prefillRate();
     books_[flight.book].add(flight.ticket, PromptChain::of(requests_[index].prompt),
                             flight.choice->freshTokens, {rate.tokensPerMilli(), rate.fixedMillis()},
                             now());
@@ -249,7 +249,7 @@
     flight.sentAt = now();
     const bool isPrefill = flight.choice->prefill != nullptr;
     if (!isPrefill)
-        instance.retries->countFirst(service, now());
+        instance.retries->recordFirstAttempt(service, now());
     send(index, readerOf(flight), isPrefill);
 }
 
@@ -298,7 +298,7 @@
 {
     Flight &flight = flights_[index];
     Instance &instance = instanceOf(index);
-    instance.retries->countFirst(service, now());
+    instance.retries->recordFirstAttempt(service, now());
     instance.placement->handedOver(*flight.choice, requests_[index].prompt, now());
     flight.isReading = false;
     EngineJob job;
@@ -401,7 +401,7 @@
     flight.allowsHandOver = false;
     if (flight.isReading) {
         // Nothing ran; another engine reads, which is a send more.
-        if (!instance.retries->takeRepeat(service, now()))
+        if (!instance.retries->tryAcquireRetry(service, now()))
             return giveUp(index);
         ++repeats_;
     } else {
--- a/modules/emulation/run/LoadRun.h
+++ b/modules/emulation/run/LoadRun.h
@@ -3,7 +3,7 @@
 #include "dataplane/fleet/UpstreamHealth.h"
 #include "dataplane/policy/DecisionSettings.h"
 #include "dataplane/retry/RetryAllowance.h"
-#include "dataplane/waiting/HeldPrompts.h"
+#include "dataplane/waiting/DeferredPrompts.h"
 #include "emulation/run/EngineFleet.h"
 #include "emulation/run/Placement.h"
 #include "readingbooks/tracker/PrefillTracker.h"
@@ -54,7 +54,7 @@
         std::unique_ptr<RetryAllowance> retries;
         /** Prompts that wait here until engines have room, in the order of their arrival. */
         std::vector<std::size_t> held;
-        HeldPrompts heldPrompts;
+        DeferredPrompts heldPrompts;
     };
 
     /** A request on its way. */
@@ -80,7 +80,7 @@
         /** In which engine's book the reading is entered, and as what; empty for none. */
         std::string book;
         PrefillId ticket;
-        std::map<std::string, ReadingOffer> offers;
+        std::map<std::string, PrefillEstimate> offers;
     };
 
     void arrive(std::size_t index);
--- a/modules/gateway/admin/GatewayState.cpp
+++ b/modules/gateway/admin/GatewayState.cpp
@@ -20,11 +20,11 @@
                {"misplaced", record.isMisplaced},
                {"reclaimable", entry.isReclaimable},
                {"bad_share", context.health.badShare(entry.id)},
-               {"set_aside", context.health.isSetAside(entry.id, context.now())},
+               {"set_aside", context.health.isEjected(entry.id, context.now())},
                {"own_open", context.services.open(entry.id)}};
-    if (const auto limit = context.limits->table().limit(entry.life()))
+    if (const auto limit = context.limits->table().limit(entry.incarnation()))
         state["stated_limit_per_second"] = *limit;
-    if (const EngineMemory *memory = context.engines.memory(entry.id)) {
+    if (const EngineTracker *memory = context.engines.memory(entry.id)) {
         state["own_running"] = memory->running();
         state["own_unread_tokens"] = memory->openTokens();
     }
--- a/modules/gateway/request/RelayChoice.cpp
+++ b/modules/gateway/request/RelayChoice.cpp
@@ -19,13 +19,13 @@
     query.now = context_.now();
     query.allowsHandOver = isHandOverAllowed_;
     query.badShare = [this](const std::string &id) { return context_.health.badShare(id); };
-    query.isSetAside = [this](const std::string &id) {
-        return context_.health.isSetAside(id, context_.now());
+    query.isEjected = [this](const std::string &id) {
+        return context_.health.isEjected(id, context_.now());
     };
     query.offer = [this](const std::string &id) {
         const auto found = prefillEstimates_.find(id);
         return found == prefillEstimates_.end() ? std::nullopt
-                                                : std::optional<ReadingOffer>(found->second);
+                                                : std::optional<PrefillEstimate>(found->second);
     };
     return query;
 }
@@ -36,7 +36,7 @@
     // Only the first disaggregated prefill is free. Another one is an additional send besides the
     // run that follows; uncounted, such sends took the whole system past its retry budget.
     const bool isPrefillRetry = attempt_.choice && attempt_.choice->prefill && wasPrefillSent_;
-    if (isPrefillRetry && !context_.retries.takeRepeat(service_, context_.now())) {
+    if (isPrefillRetry && !context_.retries.tryAcquireRetry(service_, context_.now())) {
         isHandOverAllowed_ = false;
         attempt_.choice = context_.engines.choose(upstreams, placementQuery());
     }
@@ -52,8 +52,8 @@
     query.ownDomain = context_.settings.failureDomain;
     query.tried = &tried_;
     query.badShare = [this](const std::string &id) { return context_.health.badShare(id); };
-    query.isSetAside = [this](const std::string &id) {
-        return context_.health.isSetAside(id, context_.now());
+    query.isEjected = [this](const std::string &id) {
+        return context_.health.isEjected(id, context_.now());
     };
     attempt_.upstream = context_.services.choose(upstreams, query);
     return attempt_.upstream != nullptr;
--- a/modules/gateway/request/RelayContext.h
+++ b/modules/gateway/request/RelayContext.h
@@ -5,7 +5,7 @@
 #include "dataplane/model/InstanceSettings.h"
 #include "dataplane/placement/LeastLoaded.h"
 #include "dataplane/waiting/CallerPatience.h"
-#include "dataplane/waiting/HeldPrompts.h"
+#include "dataplane/waiting/DeferredPrompts.h"
 #include "gateway/GatewayWire.h"
 #include "gateway/admin/GatewayMetrics.h"
 #include "gateway/request/RelayCounters.h"
@@ -45,7 +45,7 @@
     UpstreamHealth health;
     EnginePlacement engines;
     PromptDeferral deferral;
-    HeldPrompts deferredPrompts;
+    DeferredPrompts deferredPrompts;
     /** Exchange of prefill estimates with other instances; null where instances have no links. */
     std::unique_ptr<PrefillExchange> prefillExchange;
     /** Never null while requests are accepted. */
--- a/modules/gateway/request/RelayEnd.cpp
+++ b/modules/gateway/request/RelayEnd.cpp
@@ -107,7 +107,7 @@
     const bool canRetry = isFailure && route_->kind == RouteKind::Safe
         && sends_ < route_->maxAttempts && deadlineAt_ - context_.now() > route_->goal / 2;
     if (canRetry && context_.directory.usable(service_).size() > 1
-        && context_.retries.takeRepeat(service_, context_.now())) {
+        && context_.retries.tryAcquireRetry(service_, context_.now())) {
         tried_.insert(attempt_.upstream->entry.id);
         lastCause_ = GiveUpCause::Broken;
         lastProblem_ = "the upstream answered " + std::to_string(attempt_.status);
--- a/modules/gateway/request/RelayHandOver.cpp
+++ b/modules/gateway/request/RelayHandOver.cpp
@@ -34,7 +34,7 @@
     fields.resumeAfter.reset();
     const double fresh = attempt_.choice->freshTokens;
     if (context_.prefillExchange && context_.settings.decisions.isEntered(fresh)) {
-        const ReadingRate &rate = context_.engines.prefillRate();
+        const PrefillRateEstimator &rate = context_.engines.prefillRate();
         const PrefillRate pace{rate.tokensPerMilli(), rate.fixedMillis()};
         trackedPrefill_ = context_.prefillExchange->announcePrefill(
             PromptChain::of(*inbound_.prompt), engineKey(*attempt_.choice->prefill), fresh, pace);
@@ -98,7 +98,7 @@
 
 bool RequestRelay::chooseOtherDecodeEngine()
 {
-    otherDecodeEngine_ = context_.engines.chooseRunner(candidates(), placementQuery());
+    otherDecodeEngine_ = context_.engines.chooseDecodeEngine(candidates(), placementQuery());
     return otherDecodeEngine_ != nullptr;
 }
 
@@ -106,7 +106,7 @@
 {
     context_.engines.moved(*attempt_.choice, otherDecodeEngine_, context_.now());
     attempt_.upstream = otherDecodeEngine_;
-    context_.limits->use(otherDecodeEngine_->entry.life());
+    context_.limits->use(otherDecodeEngine_->entry.incarnation());
     otherDecodeEngine_.reset();
     attempt_.body.clear();
     runWithCache();
--- a/modules/gateway/request/RelayLimits.cpp
+++ b/modules/gateway/request/RelayLimits.cpp
@@ -15,7 +15,7 @@
 void RequestRelay::noteLimit(const UpstreamEntry &upstream)
 {
     const std::optional<double> &limit = attempt_.traits.mostPerSecond;
-    if (context_.limits->updateLimit(upstream.life(), limit) != LimitChange::Marked)
+    if (context_.limits->updateLimit(upstream.incarnation(), limit) != LimitChange::Marked)
         return;
     context_.events(Event{
         &events::upstreamLimited,
@@ -31,10 +31,10 @@
     candidates_.clear();
     std::vector<UpstreamIncarnation> limited;
     for (const UpstreamPointer &upstream : usable) {
-        if (limits.mayUse(upstream->entry.life()))
+        if (limits.mayUse(upstream->entry.incarnation()))
             candidates_.push_back(upstream);
         else
-            limited.push_back(upstream->entry.life());
+            limited.push_back(upstream->entry.incarnation());
     }
     limits.prefetchCredits(limited);
     return candidates_;
@@ -47,7 +47,7 @@
         return false;
     std::vector<UpstreamPointer> available;
     for (const UpstreamPointer &upstream : context_.directory.usable(service_)) {
-        if (const auto wait = limits.retryDelay(upstream->entry.life()))
+        if (const auto wait = limits.retryDelay(upstream->entry.incarnation()))
             noteLimitReached(*wait);
         else
             available.push_back(upstream);
@@ -56,7 +56,7 @@
         return false;
     // Only the decode engine's credit is required; without one for the prefill engine, the decode
     // engine does the prefill itself.
-    const UpstreamIncarnation incarnation = attempt_.upstream->entry.life();
+    const UpstreamIncarnation incarnation = attempt_.upstream->entry.incarnation();
     attempt_ = Attempt();
     limits.acquire(incarnation, [self = shared_from_this()](const CreditResult &result) {
         if (!self->hasEnded_)
@@ -85,8 +85,8 @@
 void RequestRelay::consumeCredits()
 {
     if (attempt_.choice && attempt_.choice->prefill)
-        context_.limits->use(attempt_.choice->prefill->entry.life());
-    context_.limits->use(attempt_.upstream->entry.life());
+        context_.limits->use(attempt_.choice->prefill->entry.incarnation());
+    context_.limits->use(attempt_.upstream->entry.incarnation());
 }
 
 } // namespace cuminrail
--- a/modules/gateway/request/RelaySend.cpp
+++ b/modules/gateway/request/RelaySend.cpp
@@ -62,7 +62,7 @@
     attempt_.isPrefill = false;
     if (!isFirstSendCounted_) {
         isFirstSendCounted_ = true;
-        context_.retries.countFirst(service_, context_.now());
+        context_.retries.recordFirstAttempt(service_, context_.now());
     }
     OutboundFields fields = outbound(attempt_.upstream->entry);
     if (!cacheSource.empty())
--- a/modules/gateway/request/RelayWaiting.cpp
+++ b/modules/gateway/request/RelayWaiting.cpp
@@ -28,7 +28,7 @@
     switch (context_.deferral.decide(outlook)) {
     case PromptDecision::Send:
         return false;
-    case PromptDecision::Hold:
+    case PromptDecision::Defer:
         deferPrompt(outlook);
         return true;
     case PromptDecision::Refuse:
@@ -49,7 +49,8 @@
     if (maxEngines == 0)
         return false;
     hasQueriedEstimates_ = true;
-    const auto engines = context_.engines.likelyReaders(candidates(), placementQuery(), maxEngines);
+    const auto engines =
+        context_.engines.rankPrefillEngines(candidates(), placementQuery(), maxEngines);
     std::vector<EngineKey> keys;
     keys.reserve(engines.size());
     for (const UpstreamPointer &engine : engines)
@@ -72,7 +73,8 @@
         if (estimate == estimates.end())
             continue;
         prefillEstimates_[engine->entry.id] = estimate->second;
-        context_.engines.told(engine->entry.id, estimate->second.waitMillis, context_.now());
+        context_.engines.setReportedWait(engine->entry.id, estimate->second.waitMillis,
+                                         context_.now());
     }
     const bool isChosen = choose();
     prefillEstimates_.clear();
--- a/modules/gateway/request/RequestRelay.cpp
+++ b/modules/gateway/request/RequestRelay.cpp
@@ -167,7 +167,7 @@
         lastProblem_ += ", and upstreams ended under requests like it";
         return false;
     }
-    if (!context_.retries.takeRepeat(service_, context_.now())) {
+    if (!context_.retries.tryAcquireRetry(service_, context_.now())) {
         lastCause_ = GiveUpCause::RetryLimit;
         lastProblem_ += ", and the limit on repeats is reached";
         return false;
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -216,7 +216,7 @@
     bool isDeferred_ = false;
     bool hasQueriedEstimates_ = false;
     /** Prefill estimates for this prompt by engine; set only while they are used to choose. */
-    std::unordered_map<std::string, ReadingOffer> prefillEstimates_;
+    std::unordered_map<std::string, PrefillEstimate> prefillEstimates_;
     /** This prompt's entry in the prefill tracker of its engine. */
     PrefillExchange::Entry trackedPrefill_;
     QuotaGrant quotaGrant_;
--- a/modules/readingbooks/exchange/PrefillExchange.h
+++ b/modules/readingbooks/exchange/PrefillExchange.h
@@ -53,7 +53,7 @@
 
         bool isSet() const { return number != 0; }
     };
-    using Estimates = std::unordered_map<EngineKey, ReadingOffer>;
+    using Estimates = std::unordered_map<EngineKey, PrefillEstimate>;
     using Completion = std::function<void(const Estimates &estimates)>;
 
     PrefillExchange(std::string self, PeerTransport transport, Clock clock);
--- a/modules/readingbooks/messages/PrefillMessages.cpp
+++ b/modules/readingbooks/messages/PrefillMessages.cpp
@@ -60,7 +60,7 @@
 json encode(const PrefillReply &reply)
 {
     json estimates = json::array();
-    for (const ReadingOffer &estimate : reply.estimates) {
+    for (const PrefillEstimate &estimate : reply.estimates) {
         estimates.push_back(whole(estimate.waitMillis, maxMillis));
         estimates.push_back(whole(estimate.freshTokens, maxTokens));
         estimates.push_back(whole(estimate.heldTokens, maxTokens));
@@ -102,7 +102,7 @@
     reply.number = message.number();
     CborArrayReader estimates(message.list(elementsPerEstimate * PrefillMessageLimits::engines));
     while (estimates.isValid() && !estimates.isFullyRead()) {
-        ReadingOffer estimate;
+        PrefillEstimate estimate;
         estimate.waitMillis = static_cast<double>(estimates.number(maxMillis));
         estimate.freshTokens = static_cast<double>(estimates.number(maxTokens));
         estimate.heldTokens = static_cast<double>(estimates.number(maxTokens));
--- a/modules/readingbooks/messages/PrefillMessages.h
+++ b/modules/readingbooks/messages/PrefillMessages.h
@@ -35,7 +35,7 @@
 struct PrefillReply
 {
     std::uint64_t number = 0;
-    std::vector<ReadingOffer> estimates;
+    std::vector<PrefillEstimate> estimates;
 };
 
 /** Announces that a prompt is being sent to an engine. */
--- a/modules/readingbooks/tracker/PrefillTracker.cpp
+++ b/modules/readingbooks/tracker/PrefillTracker.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-ReadingOffer PrefillTracker::estimate(const PromptChain &chain, Millis now) const
+PrefillEstimate PrefillTracker::estimate(const PromptChain &chain, Millis now) const
 {
-    ReadingOffer estimate;
+    PrefillEstimate estimate;
     estimate.waitMillis = waitMillis(now);
     estimate.freshTokens = double(chain.tokens) - double(sentParts_.cachedTokens(chain));
     estimate.heldTokens = double(prefilledParts_.cachedTokens(chain));
--- a/modules/readingbooks/tracker/PrefillTracker.h
+++ b/modules/readingbooks/tracker/PrefillTracker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/time/Millis.h"
-#include "dataplane/placement/ReadingOffer.h"
-#include "dataplane/placement/RememberedParts.h"
+#include "dataplane/placement/PrefillEstimate.h"
+#include "dataplane/placement/PrefixCacheModel.h"
 
 #include <cstdint>
 #include <map>
@@ -57,7 +57,7 @@
     explicit PrefillTracker(bool isComplete = false) : isComplete_(isComplete) { }
 
     /** Returns the estimate for a prompt that is sent to the engine now. */
-    ReadingOffer estimate(const PromptChain &chain, Millis now) const;
+    PrefillEstimate estimate(const PromptChain &chain, Millis now) const;
     /**
         Adds a prefill that is being sent to the engine; an id that is already known has no effect.
         The engine prefills @c freshTokens at most, as the sender may have it fetch a part from
@@ -88,8 +88,8 @@
 
     std::map<PrefillId, Prefill> prefills_;
     /** Parts of prompts that were sent there, and of these the ones that have been prefilled. */
-    RememberedParts sentParts_;
-    RememberedParts prefilledParts_;
+    PrefixCacheModel sentParts_;
+    PrefixCacheModel prefilledParts_;
     /** Estimated end of all pending prefills, in milliseconds of the local clock. */
     double freeAt_ = 0;
     /** All prefills with an estimated end up to this time are complete. */
