--- a/programs/cuminrail-gateway/main.cpp
+++ b/programs/cuminrail-gateway/main.cpp
@@ -152,8 +152,8 @@
         log.sink(),
         platform::makeObjectStore(*client, [&settings] { return settings.store; }),
         [&log] { return log.dropped(); }};
-    auto gateway =
-        std::make_unique<Gateway>(settings, platform::makeWire(*client, settings), environment);
+    auto gateway = std::make_unique<Gateway>(
+        settings, platform::makeGatewayProtocol(*client, settings), environment);
     client->setObserver([&gateway](PlatformCallKind kind, bool wasAnswered, Millis took) {
         const std::string name(platformCallKindNames.name(kind));
         if (gateway)
--- a/programs/cuminrail-soak/Callers.cpp
+++ b/programs/cuminrail-soak/Callers.cpp
@@ -127,7 +127,7 @@
 }
 
 std::vector<std::string> judge(const std::vector<CallResult> &results,
-                               const platform::RunRecord &record, Millis southWithdrawnAt)
+                               const platform::ServerRequestLog &record, Millis southWithdrawnAt)
 {
     std::vector<std::string> broken;
     const auto runs = record.all();
--- a/programs/cuminrail-soak/Callers.h
+++ b/programs/cuminrail-soak/Callers.h
@@ -67,6 +67,6 @@
 
 /** Returns what of the promises to callers is broken, one line each. */
 std::vector<std::string> judge(const std::vector<CallResult> &results,
-                               const platform::RunRecord &record, Millis southWithdrawnAt);
+                               const platform::ServerRequestLog &record, Millis southWithdrawnAt);
 
 } // namespace cuminrail::soak
--- a/programs/cuminrail-soak/Fleet.h
+++ b/programs/cuminrail-soak/Fleet.h
@@ -75,7 +75,7 @@
     /** Runs a function on the stand-ins' thread. */
     void onThread(const std::function<void()> &function) { thread_.run(function); }
 
-    platform::RunRecord &record() { return record_; }
+    platform::ServerRequestLog &record() { return record_; }
     std::vector<std::unique_ptr<GatewayProcess>> gateways;
     std::vector<std::unique_ptr<platform::StandinServer>> servers;
     std::vector<std::unique_ptr<FaultProxy>> proxies;
@@ -87,7 +87,7 @@
 
     SoakOptions options_;
     IoThread thread_;
-    platform::RunRecord record_;
+    platform::ServerRequestLog record_;
     std::uint64_t version_ = 0;
 };
 
--- a/programs/cuminrail-soak/main.cpp
+++ b/programs/cuminrail-soak/main.cpp
@@ -71,7 +71,7 @@
             for (const auto &proxy : fleet_.proxies)
                 proxy->setFault(LinkFault::None);
             for (const auto &server : fleet_.servers)
-                server->setTemper({});
+                server->setFaultRates({});
         });
         for (const auto &gateway : fleet_.gateways)
             gateway->signal(SIGCONT);
@@ -128,12 +128,12 @@
 
     void changeTemper()
     {
-        platform::ServerTemper temper;
+        platform::ServerFaultRates temper;
         temper.refuses = static_cast<int>(random_() % 30);
         temper.breaks = static_cast<int>(random_() % 30);
         temper.fails = static_cast<int>(random_() % 20);
         temper.staysSilent = static_cast<int>(random_() % 8);
-        fleet_.servers[anyServer()]->setTemper(temper);
+        fleet_.servers[anyServer()]->setFaultRates(temper);
     }
 
     Fleet &fleet_;
