--- a/modules/authoritybench/holder/AuthorityHolder.cpp
+++ b/modules/authoritybench/holder/AuthorityHolder.cpp
@@ -1,7 +1,7 @@
 #include "authoritybench/holder/AuthorityHolder.h"
 
-#include "lease/keeper/LeaseKeeper.h"
-#include "orders/keeper/OrderKeeper.h"
+#include "lease/manager/LeaseManager.h"
+#include "orders/manager/OrderManager.h"
 #include "platform/platform.h"
 #include "runtime/time/BootClock.h"
 #include "usage/usage.h"
@@ -25,15 +25,15 @@
 {
     LeaseTiming timing;
     timing.term = Millis(800);
-    timing.renewEvery = Millis(200);
-    timing.pollEvery = Millis(150);
+    timing.renewInterval = Millis(200);
+    timing.pollInterval = Millis(150);
     timing.margin = Millis(150);
     timing.stagger = Millis(50);
-    timing.fullDelay = Millis(200);
-    timing.listEvery = Millis(2000);
-    timing.rebalanceEvery = Millis::minutes(60);
-    timing.retryFirst = Millis(50);
-    timing.retryMost = Millis(200);
+    timing.fullShareDelay = Millis(200);
+    timing.listInterval = Millis(2000);
+    timing.rebalanceInterval = Millis::minutes(60);
+    timing.firstRetryDelay = Millis(50);
+    timing.maxRetryDelay = Millis(200);
     return timing;
 }
 
@@ -42,8 +42,8 @@
     OrderTiming timing;
     timing.sendMargin = Millis(100);
     timing.maxInFlight = maxAuthoritySendInFlight;
-    timing.settleEvery = Millis(30);
-    timing.retryEvery = Millis(30);
+    timing.settleInterval = Millis(30);
+    timing.retryInterval = Millis(30);
     return timing;
 }
 
@@ -52,7 +52,7 @@
     UsageTiming timing;
     timing.windowLength = Millis(1000);
     timing.grace = Millis(200);
-    timing.retryEvery = Millis(50);
+    timing.retryInterval = Millis(50);
     timing.sendMargin = Millis(100);
     return timing;
 }
@@ -107,18 +107,18 @@
         return leases_.authority(duty, bootTime());
     }
 
-    LeaseKeeper::Hooks leaseHooks()
+    LeaseManager::Hooks leaseHooks()
     {
-        LeaseKeeper::Hooks hooks{store_, bootClock(), random_, ignoreEvents(), {}, {}, {}, {}};
+        LeaseManager::Hooks hooks{store_, bootClock(), random_, ignoreEvents(), {}, {}, {}, {}};
         hooks.duties = [] { return std::vector<std::string>{ordersDuty, usageDuty}; };
         hooks.liveMembers = [this] { return options_.members; };
-        hooks.onTaken = [this](const std::string &duty, const Authority &) {
+        hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) {
             if (duty == ordersDuty)
                 orders_.onLeaseAcquired();
             else
                 reporter_.onLeaseAcquired();
         };
-        hooks.onLost = [this](const std::string &duty) {
+        hooks.onLeaseLost = [this](const std::string &duty) {
             if (duty == ordersDuty)
                 orders_.onLeaseLost();
             else
@@ -127,7 +127,7 @@
         return hooks;
     }
 
-    OrderKeeper::Hooks orderHooks()
+    OrderManager::Hooks orderHooks()
     {
         const auto addressOf = [this](const UpstreamId &id) -> std::optional<std::string> {
             for (const HolderEngine &engine : options_.engines) {
@@ -162,7 +162,7 @@
         leases_.tick();
         orders_.tick();
         reporter_.tick();
-        UsageFigures figures;
+        UsageCounters figures;
         figures.requests = 1;
         flusher_.add(CustomerId(customerName), figures);
         flusher_.tick();
@@ -192,9 +192,9 @@
     DeadlineList deadlines_;
     PlatformClient client_;
     ObjectStore store_;
-    InstanceLife life_;
-    LeaseKeeper leases_;
-    OrderKeeper orders_;
+    InstanceIncarnation life_;
+    LeaseManager leases_;
+    OrderManager orders_;
     UsageReporter reporter_;
     UsageFlusher flusher_;
     boost::asio::steady_timer ticker_;
--- a/modules/authoritybench/holder/AuthorityHolder.h
+++ b/modules/authoritybench/holder/AuthorityHolder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "core/ids/Ids.h"
-#include "orders/track/EngineOrderTrack.h"
+#include "orders/controller/EngineOrderController.h"
 
 #include <memory>
 #include <string>
--- a/modules/authoritybench/judge/AuthorityJudge.cpp
+++ b/modules/authoritybench/judge/AuthorityJudge.cpp
@@ -1,6 +1,6 @@
 #include "authoritybench/judge/AuthorityJudge.h"
 
-#include "orders/track/EngineOrderTrack.h"
+#include "orders/controller/EngineOrderController.h"
 
 #include <map>
 #include <optional>
--- a/modules/capacity/fleet/FleetManager.h
+++ b/modules/capacity/fleet/FleetManager.h
@@ -4,8 +4,8 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "lease/keeper/DutyLease.h"
-#include "orders/track/EngineOrderTrack.h"
+#include "lease/manager/DutyLease.h"
+#include "orders/controller/EngineOrderController.h"
 #include "ports/fleet/FleetOrdering.h"
 #include "ports/store/ObjectStore.h"
 
--- a/modules/dispatch/claims/ClaimKeeper.cpp
+++ b/modules/dispatch/claims/ClaimManager.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 
 #include "core/events/EventCatalogue.h"
 #include "core/guards/Guards.h"
@@ -21,7 +21,7 @@
 } // namespace
 
 /** A call that waits for its decision, or runs under its claim. */
-struct ClaimKeeper::ClaimAttempt
+struct ClaimManager::ClaimAttempt
 {
     ClaimRequest request;
     std::string path;
@@ -35,7 +35,7 @@
 };
 
 /** An outcome that is being written to the store. */
-struct ClaimKeeper::OutcomeWrite
+struct ClaimManager::OutcomeWrite
 {
     std::string path;
     ClaimRecord record;
@@ -49,18 +49,18 @@
     bool versionUnknown = false;
 };
 
-ClaimKeeper::ClaimKeeper(Config config, ObjectStore store, RandomHook random, EventSink events,
-                         GoneHook hasEnded)
+ClaimManager::ClaimManager(Config config, ObjectStore store, RandomHook random, EventSink events,
+                           IncarnationEndedHook hasEnded)
     : config_(std::move(config)), store_(std::move(store)), random_(std::move(random)),
       events_(std::move(events)), hasEnded_(std::move(hasEnded))
 { }
 
-ClaimKeeper::~ClaimKeeper()
+ClaimManager::~ClaimManager()
 {
     *alive_ = false;
 }
 
-void ClaimKeeper::begin(const ClaimRequest &request, Completion completion)
+void ClaimManager::begin(const ClaimRequest &request, Completion completion)
 {
     auto attempt = std::make_shared<ClaimAttempt>();
     attempt->request = request;
@@ -77,7 +77,7 @@
     writeClaim(attempt, 0);
 }
 
-void ClaimKeeper::writeClaim(const std::shared_ptr<ClaimAttempt> &attempt, ObjectVersion expected)
+void ClaimManager::writeClaim(const std::shared_ptr<ClaimAttempt> &attempt, ObjectVersion expected)
 {
     attempt->expected = expected;
     attempt->retryAt = Millis::never();
@@ -88,8 +88,8 @@
     });
 }
 
-void ClaimKeeper::onClaimWritten(const std::shared_ptr<ClaimAttempt> &attempt,
-                                 const StoreReply &reply)
+void ClaimManager::onClaimWritten(const std::shared_ptr<ClaimAttempt> &attempt,
+                                  const StoreReply &reply)
 {
     if (reply.status == StoreStatus::Ok) {
         attempt->version = reply.version;
@@ -114,7 +114,7 @@
     readClaim(attempt);
 }
 
-void ClaimKeeper::readClaim(const std::shared_ptr<ClaimAttempt> &attempt)
+void ClaimManager::readClaim(const std::shared_ptr<ClaimAttempt> &attempt)
 {
     store_.get(attempt->path, [this, alive = alive_, attempt](const StoreReply &reply) {
         if (*alive)
@@ -122,7 +122,8 @@
     });
 }
 
-void ClaimKeeper::onClaimRead(const std::shared_ptr<ClaimAttempt> &attempt, const StoreReply &reply)
+void ClaimManager::onClaimRead(const std::shared_ptr<ClaimAttempt> &attempt,
+                               const StoreReply &reply)
 {
     if (!isWaiting(*attempt)) {
         settleAsNotRun(attempt);
@@ -147,8 +148,8 @@
     evaluateExisting(attempt, *record, reply.objects.front().version);
 }
 
-void ClaimKeeper::evaluateExisting(const std::shared_ptr<ClaimAttempt> &attempt,
-                                   const ClaimRecord &record, ObjectVersion version)
+void ClaimManager::evaluateExisting(const std::shared_ptr<ClaimAttempt> &attempt,
+                                    const ClaimRecord &record, ObjectVersion version)
 {
     if (record.token == attempt->token) {
         attempt->version = version;
@@ -169,9 +170,9 @@
         return;
     case ClaimState::Done:
         complete(attempt,
-                 {record.answer.complete ? ClaimDecision::Replay : ClaimDecision::RanUnstored,
+                 {record.response.complete ? ClaimDecision::Replay : ClaimDecision::RanUnstored,
                   "",
-                  record.answer,
+                  record.response,
                   {}});
         return;
     case ClaimState::MayHaveRun:
@@ -187,8 +188,8 @@
     }
 }
 
-ClaimDecision ClaimKeeper::evaluateClaimed(const std::string &path, const ClaimRecord &record,
-                                           ObjectVersion version)
+ClaimDecision ClaimManager::evaluateClaimed(const std::string &path, const ClaimRecord &record,
+                                            ObjectVersion version)
 {
     const bool isOwnIncarnation =
         record.instance == config_.instance && record.incarnation == config_.incarnation;
@@ -205,17 +206,17 @@
     return isAbandoned ? ClaimDecision::MayHaveRun : ClaimDecision::InProgress;
 }
 
-void ClaimKeeper::scheduleRetry(const std::shared_ptr<ClaimAttempt> &attempt)
+void ClaimManager::scheduleRetry(const std::shared_ptr<ClaimAttempt> &attempt)
 {
     attempt->retryAt = now_ + storeRetryInterval;
 }
 
-bool ClaimKeeper::isWaiting(const ClaimAttempt &attempt) const
+bool ClaimManager::isWaiting(const ClaimAttempt &attempt) const
 {
     return waitingAttempts_.count(attempt.token) > 0;
 }
 
-void ClaimKeeper::complete(const std::shared_ptr<ClaimAttempt> &attempt, const ClaimResult &result)
+void ClaimManager::complete(const std::shared_ptr<ClaimAttempt> &attempt, const ClaimResult &result)
 {
     waitingAttempts_.erase(attempt->token);
     if (result.decision == ClaimDecision::Run)
@@ -226,7 +227,7 @@
     completion(result);
 }
 
-void ClaimKeeper::settleAsNotRun(const std::shared_ptr<ClaimAttempt> &attempt)
+void ClaimManager::settleAsNotRun(const std::shared_ptr<ClaimAttempt> &attempt)
 {
     // The caller was told that its call did not run, and that is true. A remaining claim would
     // contradict it: the next duplicate would be answered "in progress" and then "may have run" for
@@ -238,7 +239,7 @@
     finish(attempt->token, {Verdict::NotRun, {}});
 }
 
-void ClaimKeeper::finish(const std::string &token, const ClaimOutcome &outcome)
+void ClaimManager::finish(const std::string &token, const ClaimOutcome &outcome)
 {
     const auto running = running_.find(token);
     if (running == running_.end())
@@ -260,22 +261,22 @@
         break;
     case Verdict::Ran:
         outcomeWrite->record.state = ClaimState::Done;
-        outcomeWrite->record.answer = outcome.answer;
+        outcomeWrite->record.response = outcome.response;
         break;
     }
-    const bool isTooLarge = outcome.answer.body.size() > maxStoredBodyBytes;
+    const bool isTooLarge = outcome.response.body.size() > maxStoredBodyBytes;
     if (isTooLarge || pendingOutcomes_.size() >= config_.maxPendingBodies) {
-        outcomeWrite->record.answer.body.clear();
-        outcomeWrite->record.answer.complete = false;
+        outcomeWrite->record.response.body.clear();
+        outcomeWrite->record.response.complete = false;
         events_({&events::claimAnswerNotStored,
                  {{"customer", attempt->request.customer.text()},
-                  {"bytes", std::to_string(outcome.answer.body.size())}}});
+                  {"bytes", std::to_string(outcome.response.body.size())}}});
     }
     pendingOutcomes_[token] = outcomeWrite;
     writeOutcome(outcomeWrite);
 }
 
-void ClaimKeeper::writeOutcome(const std::shared_ptr<OutcomeWrite> &outcomeWrite)
+void ClaimManager::writeOutcome(const std::shared_ptr<OutcomeWrite> &outcomeWrite)
 {
     outcomeWrite->inFlight = true;
     outcomeWrite->retryAt = now_ + config_.writeRetryInterval;
@@ -299,8 +300,8 @@
     });
 }
 
-void ClaimKeeper::onOutcomeRead(const std::shared_ptr<OutcomeWrite> &outcomeWrite,
-                                const StoreReply &reply)
+void ClaimManager::onOutcomeRead(const std::shared_ptr<OutcomeWrite> &outcomeWrite,
+                                 const StoreReply &reply)
 {
     outcomeWrite->inFlight = false;
     if (reply.status != StoreStatus::Ok && reply.status != StoreStatus::NotFound)
@@ -324,7 +325,7 @@
     writeOutcome(outcomeWrite);
 }
 
-void ClaimKeeper::tick(Millis now)
+void ClaimManager::tick(Millis now)
 {
     now_ = now;
     std::vector<std::shared_ptr<ClaimAttempt>> overdue;
@@ -355,7 +356,7 @@
         writeOutcome(outcomeWrite);
 }
 
-ClaimRecord ClaimKeeper::recordOf(const ClaimAttempt &attempt) const
+ClaimRecord ClaimManager::recordOf(const ClaimAttempt &attempt) const
 {
     ClaimRecord record;
     record.state = ClaimState::Claimed;
@@ -366,7 +367,7 @@
     return record;
 }
 
-std::string ClaimKeeper::newToken()
+std::string ClaimManager::newToken()
 {
     return config_.instance.text() + "-" + std::to_string(config_.incarnation) + "-"
         + std::to_string(random_()) + std::to_string(random_());
--- a/modules/dispatch/claims/ClaimKeeper.h
+++ b/modules/dispatch/claims/ClaimManager.h
@@ -61,7 +61,7 @@
     ClaimDecision decision = ClaimDecision::Unavailable;
     /** Identifies the claim for finish(); set for Run only. */
     std::string token;
-    StoredAnswer answer;
+    StoredResponse response;
     Reason lastReason;
 };
 
@@ -70,7 +70,7 @@
 {
     Verdict verdict = Verdict::MayHaveRun;
     /** Stored when the verdict is Ran. */
-    StoredAnswer answer;
+    StoredResponse response;
 };
 
 /**
@@ -86,7 +86,7 @@
 
     @see ClaimRecord
 */
-class ClaimKeeper
+class ClaimManager
 {
 public:
     using Completion = std::function<void(const ClaimResult &)>;
@@ -95,7 +95,7 @@
         Returns whether an incarnation of an instance is known to have ended; false when that is not
         known.
     */
-    using GoneHook = std::function<bool(const InstanceId &, Incarnation)>;
+    using IncarnationEndedHook = std::function<bool(const InstanceId &, Incarnation)>;
 
     struct Config
     {
@@ -112,11 +112,11 @@
         std::size_t maxPendingBodies = 1000;
     };
 
-    ClaimKeeper(Config config, ObjectStore store, RandomHook random, EventSink events,
-                GoneHook hasEnded);
-    ~ClaimKeeper();
-    ClaimKeeper(const ClaimKeeper &) = delete;
-    ClaimKeeper &operator=(const ClaimKeeper &) = delete;
+    ClaimManager(Config config, ObjectStore store, RandomHook random, EventSink events,
+                 IncarnationEndedHook hasEnded);
+    ~ClaimManager();
+    ClaimManager(const ClaimManager &) = delete;
+    ClaimManager &operator=(const ClaimManager &) = delete;
 
     /**
         Decides whether the call may run. The completion is called once, on the thread that runs
@@ -170,7 +170,7 @@
     const ObjectStore store_;
     const RandomHook random_;
     const EventSink events_;
-    const GoneHook hasEnded_;
+    const IncarnationEndedHook hasEnded_;
     Millis now_{0};
     std::map<std::string, std::shared_ptr<ClaimAttempt>> waitingAttempts_;
     std::map<std::string, std::shared_ptr<ClaimAttempt>> running_;
--- a/modules/dispatch/claims/ClaimKeeper_test.cpp
+++ b/modules/dispatch/claims/ClaimManager_test.cpp
@@ -30,7 +30,7 @@
 
     FakeProcessPtr process;
     bool othersHaveEnded = false;
-    ClaimKeeper claims;
+    ClaimManager claims;
 };
 
 /** Two instances, a store, and a filing service that counts its runs. */
@@ -101,8 +101,8 @@
     bed.scheduler.runFor(Millis::seconds(1));
     REQUIRE(duplicate->has_value());
     CHECK((*duplicate)->decision == ClaimDecision::Replay);
-    CHECK((*duplicate)->answer.status == 201);
-    CHECK((*duplicate)->answer.body == "lodged");
+    CHECK((*duplicate)->response.status == 201);
+    CHECK((*duplicate)->response.body == "lodged");
     CHECK(bed.runs == 1);
 }
 
@@ -308,11 +308,11 @@
     record.instance = InstanceId("a");
     record.incarnation = 1;
     record.requestSha256 = "00ff";
-    record.answer = {200, "application/octet-stream", everyByte, true};
+    record.response = {200, "application/octet-stream", everyByte, true};
     Reason reason;
     const auto read = ClaimRecord::fromText(record.toText(), &reason);
     REQUIRE(read.has_value());
-    CHECK(read->answer.body == everyByte);
+    CHECK(read->response.body == everyByte);
     CHECK(read->token == record.token);
     CHECK(read->state == ClaimState::Done);
 }
--- a/modules/dispatch/claims/ClaimRecord.cpp
+++ b/modules/dispatch/claims/ClaimRecord.cpp
@@ -43,7 +43,7 @@
     return bytes;
 }
 
-Json responseToJson(const StoredAnswer &response)
+Json responseToJson(const StoredResponse &response)
 {
     return {{"status", response.status},
             {"content_type", bytesToText(response.contentType)},
@@ -51,9 +51,9 @@
             {"complete", response.complete}};
 }
 
-StoredAnswer responseFromJson(const Json &json)
+StoredResponse responseFromJson(const Json &json)
 {
-    StoredAnswer response;
+    StoredResponse response;
     response.status = json.at("status").get<unsigned>();
     response.contentType = textToBytes(json.at("content_type").get<std::string>());
     response.body = textToBytes(json.at("body").get<std::string>());
@@ -71,7 +71,7 @@
                  {"incarnation", incarnation},
                  {"request_sha256", requestSha256}};
     if (state == ClaimState::Done)
-        json["answer"] = responseToJson(answer);
+        json["answer"] = responseToJson(response);
     return json.dump();
 }
 
@@ -91,7 +91,7 @@
         record.incarnation = json.at("incarnation").get<Incarnation>();
         record.requestSha256 = json.at("request_sha256").get<std::string>();
         if (record.state == ClaimState::Done)
-            record.answer = responseFromJson(json.at("answer"));
+            record.response = responseFromJson(json.at("answer"));
         return record;
     } catch (const Json::exception &error) {
         fail(lastReason, "claim", error.what());
--- a/modules/dispatch/claims/ClaimRecord.h
+++ b/modules/dispatch/claims/ClaimRecord.h
@@ -30,7 +30,7 @@
 }}};
 
 /** The response stored for duplicates of the call. */
-struct StoredAnswer
+struct StoredResponse
 {
     unsigned status = 0;
     std::string contentType;
@@ -59,7 +59,7 @@
     Incarnation incarnation = 0;
     /** Lower-case hexadecimal SHA-256 of method, path and body. */
     std::string requestSha256;
-    StoredAnswer answer;
+    StoredResponse response;
 
     /** Returns the text to store. Bodies that are not UTF-8 are preserved byte for byte. */
     std::string toText() const;
--- a/modules/dispatch/dispatch.h
+++ b/modules/dispatch/dispatch.h
@@ -10,7 +10,7 @@
     Depends on: core, ports, settings.
 */
 
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 #include "dispatch/claims/ClaimRecord.h"
 #include "dispatch/retry/RetryBudget.h"
 #include "dispatch/retry/RetryPolicy.h"
--- a/modules/dispatch/retry/RetryPolicy.cpp
+++ b/modules/dispatch/retry/RetryPolicy.cpp
@@ -12,7 +12,7 @@
     const bool couldRunTwice = !lastOutcome.isSafeToRepeat() && !traits.idempotent;
     if (couldRunTwice && guardEnabled(Guard::VerdictBeforeRetry))
         return RetryDecision::MayHaveRun;
-    if (traits.answerStarted)
+    if (traits.responseStarted)
         return RetryDecision::ResponseStarted;
     if (now + traits.minAttemptDuration >= traits.deadline)
         return RetryDecision::DeadlineNear;
--- a/modules/dispatch/retry/RetryPolicy.h
+++ b/modules/dispatch/retry/RetryPolicy.h
@@ -21,7 +21,7 @@
         Part of a response has been sent to the caller; the response of another attempt would be
         mixed with it.
     */
-    bool answerStarted = false;
+    bool responseStarted = false;
     /** The time after which the response is of no use, on this machine's clock. */
     Millis deadline = Millis::never();
     /** Shortest duration of an attempt; no retry starts with less time remaining. */
--- a/modules/dispatch/retry/RetryPolicy_test.cpp
+++ b/modules/dispatch/retry/RetryPolicy_test.cpp
@@ -68,7 +68,7 @@
 {
     RetryBudget budget;
     RetryTraits traits = traitsOf(true);
-    traits.answerStarted = true;
+    traits.responseStarted = true;
     CHECK(decideRetry(traits, outcomeOf(Verdict::NotRun), now, budget)
           == RetryDecision::ResponseStarted);
 }
--- a/modules/feeds/follower/FeedFollower.cpp
+++ b/modules/feeds/follower/FeedFollower.cpp
@@ -126,7 +126,7 @@
     isBusy_ = false;
 }
 
-void FeedFollower::storeInDoubt()
+void FeedFollower::noteStoreFailure()
 {
     const Millis now = hooks_.clock.now();
     const bool isNew = !isStoreSuspect(now);
@@ -188,8 +188,8 @@
     // this instance read may be one that others never received.
     const ObjectVersion from = changedAt_;
     changedAt_ = lastChangeRevision(objects, seen_);
-    if (coordinator_.watchesForOthers() && hooks_.onLearned)
-        hooks_.onLearned(FeedUpdate{kind_, from, seen_, std::move(objects)});
+    if (coordinator_.watchesForOthers() && hooks_.onWatchUpdate)
+        hooks_.onWatchUpdate(FeedUpdate{kind_, from, seen_, std::move(objects)});
 }
 
 ObjectVersion FeedFollower::lastChangeRevision(const std::vector<StoreObject> &objects,
@@ -315,10 +315,10 @@
         && now - *currentAt_ >= coordinator_.timing().confirmationValidity;
     if (isDown_ || hasGap) {
         isDown_ = false;
-        hooks_.onReturned();
+        hooks_.onStoreRecovered();
     }
     currentAt_ = now;
-    hooks_.onCurrent();
+    hooks_.onUpToDate();
 }
 
 void FeedFollower::handleFailure(const StoreReply &reply)
--- a/modules/feeds/follower/FeedFollower.h
+++ b/modules/feeds/follower/FeedFollower.h
@@ -60,11 +60,11 @@
         /** One object changed or was removed. */
         std::function<void(const StoreObject &)> onChanged;
         /** This instance's own watch returned changes that others need. */
-        std::function<void(const FeedUpdate &)> onLearned;
+        std::function<void(const FeedUpdate &)> onWatchUpdate;
         /** The replica is current at this moment. */
-        std::function<void()> onCurrent;
+        std::function<void()> onUpToDate;
         /** The store answers again, this instance or another, after an outage. */
-        std::function<void()> onReturned;
+        std::function<void()> onStoreRecovered;
         std::function<void(const Reason &)> onFailed;
         /** An update was not applied because changes before it are missing here. May be null. */
         std::function<void(const FeedUpdate &, ObjectVersion seen)> onGap = nullptr;
@@ -86,9 +86,9 @@
     */
     void setPosition(const WatchPosition &position);
     /** Sets for how long an unshared instance gathers changes before its next call. */
-    void setGathering(Millis gathering) { batchInterval_ = gathering; }
+    void setBatchInterval(Millis gathering) { batchInterval_ = gathering; }
     /** A call of this instance to the store failed or timed out. */
-    void storeInDoubt();
+    void noteStoreFailure();
     /** Applies an update from another instance's watch. */
     void handleUpdate(const FeedUpdate &update);
     /** Handles the status that another instance that watches announced. */
--- a/modules/feeds/follower/FeedGroup.cpp
+++ b/modules/feeds/follower/FeedGroup.cpp
@@ -101,7 +101,7 @@
     }
 }
 
-void FeedGroup::passOn(const FeedUpdate &update) const
+void FeedGroup::distribute(const FeedUpdate &update) const
 {
     // If the update is too large, the others notice the gap by the next heartbeat and read it from
     // the store.
--- a/modules/feeds/follower/FeedGroup.h
+++ b/modules/feeds/follower/FeedGroup.h
@@ -54,7 +54,7 @@
         Load: a change for a hundred instances over links of 10 Mbit/s. Sent to each by one
         instance, it would take seconds to leave it.
     */
-    void passOn(const FeedUpdate &update) const;
+    void distribute(const FeedUpdate &update) const;
     /** Handles a frame from another instance. Returns false if it belongs to another protocol. */
     bool handleFrame(const PeerAddress &from, const std::string &frame);
 
--- a/modules/feeds/follower/FeedGroup_test.cpp
+++ b/modules/feeds/follower/FeedGroup_test.cpp
@@ -23,7 +23,7 @@
     // In a minute without failures the primary watcher of each domain and feed calls as often as
     // its calls end, the standby a quarter as often; the outage costs at most as much again, and
     // two lists per restart.
-    const WatchTiming timing = WatchTiming::forAllowance(maxDelay);
+    const WatchTiming timing = WatchTiming::forMaxDelay(maxDelay);
     const auto callsOf = [](Millis wait) {
         return static_cast<std::uint64_t>(Millis::seconds(60).count() / wait.count()) + 1;
     };
@@ -81,7 +81,7 @@
     const Millis retryInterval =
         FakeNetwork::callTimeout + FeedFollower::confirmedRetryInterval / 2;
     const auto refusedCalls = static_cast<std::uint64_t>(60000 / retryInterval.count()) + 1;
-    const Millis wait = WatchTiming::forAllowance(maxDelay).primaryWait;
+    const Millis wait = WatchTiming::forMaxDelay(maxDelay).primaryWait;
     const auto substituteCalls = static_cast<std::uint64_t>(60000 / wait.count()) + 1;
     CHECK(cluster.sentCalls() - before <= 2 * (substituteCalls + 2 * refusedCalls));
 }
@@ -210,7 +210,7 @@
     const std::uint64_t before = cluster.sentCalls();
     cluster.scheduler.runFor(Millis::seconds(60));
     // A primary and a standby watcher for each feed, as before.
-    const WatchTiming timing = WatchTiming::forAllowance(maxDelay);
+    const WatchTiming timing = WatchTiming::forMaxDelay(maxDelay);
     const auto primaryCalls = static_cast<std::uint64_t>(60000 / timing.primaryWait.count()) + 1;
     const auto standbyCalls = static_cast<std::uint64_t>(60000 / timing.standbyWait.count()) + 1;
     CHECK(cluster.sentCalls() - before <= 2 * (primaryCalls + standbyCalls));
--- a/modules/feeds/follower/WatchCoordinator.cpp
+++ b/modules/feeds/follower/WatchCoordinator.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-WatchTiming WatchTiming::forAllowance(Millis maxDelay)
+WatchTiming WatchTiming::forMaxDelay(Millis maxDelay)
 {
     // Half of the permitted delay is for the age of the watchers' data, the rest for an attempt and
     // a call.
--- a/modules/feeds/follower/WatchCoordinator.h
+++ b/modules/feeds/follower/WatchCoordinator.h
@@ -39,7 +39,7 @@
     Millis heartbeatInterval;
 
     /** @param maxDelay how late an instance may learn of a change */
-    static WatchTiming forAllowance(Millis maxDelay);
+    static WatchTiming forMaxDelay(Millis maxDelay);
 };
 
 /**
--- a/modules/feeds/follower/WatchCoordinator_test.cpp
+++ b/modules/feeds/follower/WatchCoordinator_test.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-const WatchTiming timing = WatchTiming::forAllowance(Millis(4000));
+const WatchTiming timing = WatchTiming::forMaxDelay(Millis(4000));
 
 WatchCoordinator coordinatorOf(std::size_t rank)
 {
@@ -114,7 +114,7 @@
 {
     for (const int maxDelay : {2000, 3000, 4000, 6000}) {
         CAPTURE(maxDelay);
-        const WatchTiming derived = WatchTiming::forAllowance(Millis(maxDelay));
+        const WatchTiming derived = WatchTiming::forMaxDelay(Millis(maxDelay));
         CHECK(derived.primaryWait + derived.heartbeatInterval < derived.confirmationValidity);
         CHECK(derived.confirmationValidity + WatchCoordinator::maxSilenceStagger
               < Millis(maxDelay));
--- a/modules/feeds/testing/FeedCluster.h
+++ b/modules/feeds/testing/FeedCluster.h
@@ -162,11 +162,13 @@
                 apply(object);
         };
         hooks.onChanged = apply;
-        hooks.onLearned = [&instance](const FeedUpdate &update) { instance.group->passOn(update); };
-        hooks.onCurrent = [] {};
-        hooks.onReturned = [&instance] { ++instance.recoveries; };
+        hooks.onWatchUpdate = [&instance](const FeedUpdate &update) {
+            instance.group->distribute(update);
+        };
+        hooks.onUpToDate = [] {};
+        hooks.onStoreRecovered = [&instance] { ++instance.recoveries; };
         hooks.onFailed = [](const Reason &) {};
-        return std::make_unique<FeedFollower>(kind, prefix, WatchTiming::forAllowance(maxDelay),
+        return std::make_unique<FeedFollower>(kind, prefix, WatchTiming::forMaxDelay(maxDelay),
                                               std::move(hooks));
     }
 
--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -52,9 +52,9 @@
     return timing;
 }
 
-InstanceLife incarnationOf(const InstanceSettings &settings, std::int64_t wallMillis)
+InstanceIncarnation incarnationOf(const InstanceSettings &settings, std::int64_t wallMillis)
 {
-    return InstanceLife{InstanceId(settings.name), static_cast<Incarnation>(wallMillis)};
+    return InstanceIncarnation{InstanceId(settings.name), static_cast<Incarnation>(wallMillis)};
 }
 
 } // namespace
@@ -105,7 +105,7 @@
     context_.onExecutionStarted = [this](const std::string &customer) { usage_.count(customer); };
     sync_.onConfiguration = [this] { applyLimits(); };
     feeds_.isLinked = [this](const PeerAddress &peer) { return fabric_.isLinked(peer); };
-    sync_.onWatchUpdate = [this](const FeedUpdate &update) { feeds_.passOn(update); };
+    sync_.onWatchUpdate = [this](const FeedUpdate &update) { feeds_.distribute(update); };
     context_.quotas =
         std::make_unique<QuotaExchange>(settings_.quotas, fabric_.transport(), environment_.clock);
     context_.limits = std::make_unique<LimitExchange>(settings_.upstreamLimits, fabric_.transport(),
--- a/modules/gateway/control/FleetLease.cpp
+++ b/modules/gateway/control/FleetLease.cpp
@@ -1,6 +1,6 @@
 #include "gateway/control/FleetLease.h"
 
-#include "lease/spread/DutySpread.h"
+#include "lease/assignment/DutyAssignment.h"
 
 #include <algorithm>
 
@@ -18,17 +18,17 @@
 {
     LeaseTiming timing;
     timing.term = Millis(4500);
-    timing.renewEvery = Millis(1200);
-    timing.pollEvery = Millis(1500);
+    timing.renewInterval = Millis(1200);
+    timing.pollInterval = Millis(1500);
     timing.margin = Millis(300);
     timing.stagger = Millis(250);
-    timing.retryMost = Millis(1500);
+    timing.maxRetryDelay = Millis(1500);
     return timing;
 }
 
 } // namespace
 
-FleetLease::FleetLease(const InstanceLife &self, const InstanceRegistry &registry,
+FleetLease::FleetLease(const InstanceIncarnation &self, const InstanceRegistry &registry,
                        DutyLease::Hooks hooks)
     : self_(self.instance), registry_(registry), clock_(hooks.clock), random_(hooks.random),
       lease_(fleetDuty, self, leaseTiming(), std::move(hooks)), startedAt_(clock_.now())
@@ -53,12 +53,12 @@
     const Millis now = clock_.now();
     if (!registry_.isSettled() && now - startedAt_ < maxUnsettledWait)
         return;
-    const auto rank = DutySpread::rank(fleetDuty, self_, registry_.names(), candidates);
+    const auto rank = DutyAssignment::rank(fleetDuty, self_, registry_.names(), candidates);
     if (!rank && !isHeld() && !isLeaving_ && !isOutsiderCheckDue(now))
         return;
     Candidacy candidacy;
     candidacy.isCandidate = !isLeaving_;
-    candidacy.place = rank.value_or(candidates);
+    candidacy.rank = rank.value_or(candidates);
     lease_.tick(candidacy);
 }
 
--- a/modules/gateway/control/FleetLease.h
+++ b/modules/gateway/control/FleetLease.h
@@ -2,7 +2,7 @@
 
 #include "gateway/GatewayWire.h"
 #include "gateway/control/InstanceRegistry.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 
 #include <optional>
 
@@ -28,7 +28,8 @@
     /** No call is begun with less of the lease remaining than a slow response takes. */
     static constexpr Millis minRemainingTerm = Millis(1000);
 
-    FleetLease(const InstanceLife &self, const InstanceRegistry &registry, DutyLease::Hooks hooks);
+    FleetLease(const InstanceIncarnation &self, const InstanceRegistry &registry,
+               DutyLease::Hooks hooks);
 
     /** Polls, renews or takes the lease when due; to be called about ten times a second. */
     void tick();
--- a/modules/gateway/control/InstanceGroup.cpp
+++ b/modules/gateway/control/InstanceGroup.cpp
@@ -1,6 +1,6 @@
 #include "gateway/control/InstanceGroup.h"
 
-#include "lease/spread/DutySpread.h"
+#include "lease/assignment/DutyAssignment.h"
 
 #include <algorithm>
 #include <map>
@@ -31,9 +31,9 @@
     group.isShared = domain.size() >= minSharedSize;
     if (!group.isShared)
         return group;
-    for (const InstanceId &instance : DutySpread::order(feedDuty, domain))
+    for (const InstanceId &instance : DutyAssignment::order(feedDuty, domain))
         group.watchOrder.push_back(links.at(instance));
-    for (const InstanceId &instance : DutySpread::order(collectDuty, domain))
+    for (const InstanceId &instance : DutyAssignment::order(collectDuty, domain))
         group.collectors.push_back(links.at(instance));
     group.collectors.resize(std::min(group.collectors.size(), maxCollectors));
     return group;
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -10,10 +10,10 @@
     : context_(context), configuration_(FeedKind::Configuration,
                                         context.wire.configurationPath.substr(
                                             0, context.wire.configurationPath.find('/') + 1),
-                                        WatchTiming::forAllowance(context.settings.changeAllowance),
+                                        WatchTiming::forMaxDelay(context.settings.changeAllowance),
                                         configurationHooks(store, random)),
       upstreams_(FeedKind::Upstreams, context.wire.upstreamsPath,
-                 WatchTiming::forAllowance(context.settings.changeAllowance),
+                 WatchTiming::forMaxDelay(context.settings.changeAllowance),
                  upstreamHooks(store, random))
 { }
 
@@ -22,7 +22,7 @@
 {
     FeedFollower::Hooks hooks{
         store, Clock([this] { return context_.now(); }), random, {}, {}, {}, {}, {}, {}};
-    hooks.onLearned = [this](const FeedUpdate &update) {
+    hooks.onWatchUpdate = [this](const FeedUpdate &update) {
         if (onWatchUpdate)
             onWatchUpdate(update);
     };
@@ -30,7 +30,7 @@
         context_.events(
             Event{&events::storeUnavailable, {{"feed", feed}, {"reason", reason.toString()}}});
     };
-    hooks.onReturned = [this, feed] {
+    hooks.onStoreRecovered = [this, feed] {
         context_.events(Event{&events::storeReturned, {{"feed", feed}}});
     };
     hooks.onGap = [this, feed](const FeedUpdate &update, ObjectVersion seen) {
@@ -53,7 +53,7 @@
             applyConfigurationObject(object);
     };
     hooks.onChanged = [this](const StoreObject &object) { applyConfigurationObject(object); };
-    hooks.onCurrent = [this] { context_.configurationConfirmedAt = context_.now(); };
+    hooks.onUpToDate = [this] { context_.configurationConfirmedAt = context_.now(); };
     return hooks;
 }
 
@@ -62,11 +62,11 @@
     FeedFollower::Hooks hooks = commonHooks(store, random, "upstreams");
     hooks.onListed = [this](const std::vector<StoreObject> &objects) { replaceUpstreams(objects); };
     hooks.onChanged = [this](const StoreObject &object) { applyUpstream(object); };
-    hooks.onCurrent = [this] {
+    hooks.onUpToDate = [this] {
         context_.upstreamsConfirmed = context_.now();
         context_.directory.expire(context_.now());
     };
-    hooks.onReturned = [this, logged = hooks.onReturned] {
+    hooks.onStoreRecovered = [this, logged = hooks.onStoreRecovered] {
         logged();
         context_.directory.storeReturned(context_.now());
     };
@@ -95,14 +95,14 @@
 {
     const Millis scaled = batchIntervalPerInstance * static_cast<std::int64_t>(count);
     const Millis batchInterval = std::clamp(scaled, minBatchInterval, maxBatchInterval);
-    configuration_.setGathering(batchInterval);
-    upstreams_.setGathering(batchInterval);
+    configuration_.setBatchInterval(batchInterval);
+    upstreams_.setBatchInterval(batchInterval);
 }
 
 void StoreSync::noteStoreFailure()
 {
-    configuration_.storeInDoubt();
-    upstreams_.storeInDoubt();
+    configuration_.noteStoreFailure();
+    upstreams_.noteStoreFailure();
 }
 
 void StoreSync::applyConfigurationObject(const StoreObject &object)
--- a/modules/instance/request/RequestFlow.cpp
+++ b/modules/instance/request/RequestFlow.cpp
@@ -177,7 +177,7 @@
     claims.begin(request, claimCompletion());
 }
 
-ClaimKeeper::Completion RequestFlow::claimCompletion()
+ClaimManager::Completion RequestFlow::claimCompletion()
 {
     return [&worker = worker_, flow = weak_from_this()](const ClaimResult &result) {
         worker.post([&worker, flow, result] {
@@ -196,13 +196,13 @@
     if (result.decision == ClaimDecision::Run)
         claimToken_ = result.token;
     if (result.decision == ClaimDecision::Replay)
-        return replay(result.answer);
+        return replay(result.response);
     if (result.decision != ClaimDecision::Run)
         return refuse(claimRefusal(result));
     admit();
 }
 
-void RequestFlow::replay(const StoredAnswer &answer)
+void RequestFlow::replay(const StoredResponse &answer)
 {
     HttpResponse whole;
     whole.status = static_cast<int>(answer.status);
@@ -425,7 +425,7 @@
         return;
     RetryTraits traits;
     traits.idempotent = plan_.isIdempotent;
-    traits.answerStarted = relay_.hasStarted();
+    traits.responseStarted = relay_.hasStarted();
     traits.deadline = plan_.deadline;
     traits.attemptsMade = attempts_;
     const bool wantsAnswer = !isCallerGone_;
--- a/modules/instance/request/RequestFlow.h
+++ b/modules/instance/request/RequestFlow.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "admission/AdmissionTypes.h"
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 #include "instance/request/AnswerRelay.h"
 #include "instance/request/RequestPlan.h"
 #include "instance/serving/AdmissionDesk.h"
@@ -40,9 +40,9 @@
     bool makePlan();
     void listModels();
     void claim();
-    ClaimKeeper::Completion claimCompletion();
+    ClaimManager::Completion claimCompletion();
     void onClaim(const ClaimResult &result);
-    void replay(const StoredAnswer &answer);
+    void replay(const StoredResponse &answer);
     void admit();
     void onAdmission(const AdmissionEnd &end);
     void dispatch();
--- a/modules/instance/request/RequestFlowEnd.cpp
+++ b/modules/instance/request/RequestFlowEnd.cpp
@@ -60,10 +60,10 @@
     ClaimOutcome outcome;
     outcome.verdict = verdict_;
     if (verdict_ == Verdict::Ran) {
-        outcome.answer.status = static_cast<unsigned>(relay_.status());
-        outcome.answer.contentType = relay_.contentType();
-        outcome.answer.body = relay_.heldBody();
-        outcome.answer.complete = relay_.isHeldWhole();
+        outcome.response.status = static_cast<unsigned>(relay_.status());
+        outcome.response.contentType = relay_.contentType();
+        outcome.response.body = relay_.heldBody();
+        outcome.response.complete = relay_.isHeldWhole();
     }
     worker_.context().claims.finish(claimToken_, outcome);
     claimToken_.clear();
--- a/modules/instance/request/RequestFlow_test.cpp
+++ b/modules/instance/request/RequestFlow_test.cpp
@@ -33,7 +33,7 @@
     ClaimHooks hooks()
     {
         ClaimHooks hooks;
-        hooks.begin = [this](const ClaimRequest &request, ClaimKeeper::Completion done) {
+        hooks.begin = [this](const ClaimRequest &request, ClaimManager::Completion done) {
             done(begin(request));
         };
         hooks.finish = [this](const std::string &token, const ClaimOutcome &outcome) {
@@ -69,7 +69,7 @@
             const ClaimOutcome &outcome = outcomes_.begin()->second;
             const bool ran = outcome.verdict == Verdict::Ran;
             result.decision = ran ? ClaimDecision::Replay : ClaimDecision::MayHaveRun;
-            result.answer = outcome.answer;
+            result.response = outcome.response;
         }
         return result;
     }
@@ -437,7 +437,7 @@
     callerLeft.set();
     const ClaimOutcome outcome = claims.waitForOutcome("claim-1");
     CHECK(outcome.verdict == Verdict::Ran);
-    CHECK(outcome.answer.body == "{\"lodged\":true}");
+    CHECK(outcome.response.body == "{\"lodged\":true}");
     CHECK(contains(running.ask(lodging("k-1")), "X-Idempotent-Replay: true"));
     CHECK(service.received().size() == 1);
 }
@@ -471,7 +471,7 @@
     CHECK(contains(first, "HTTP/1.1 504 "));
     CHECK(contains(first, "X-Cuminrail-Verdict: may-have-run"));
     socket.send(completion());
-    CHECK(claims.waitForOutcome("claim-1").answer.body == "{\"lodged\":\"late\"}");
+    CHECK(claims.waitForOutcome("claim-1").response.body == "{\"lodged\":\"late\"}");
     lateRecorded.set();
     const std::string second = socket.readMessage();
     CHECK(contains(second, "\"text\":\"mine\""));
--- a/modules/instance/services/ClaimService.cpp
+++ b/modules/instance/services/ClaimService.cpp
@@ -9,9 +9,9 @@
 
 constexpr Millis tickPeriod{50};
 
-ClaimKeeper::Config configOf(const ControlPlane &control, Incarnation incarnation)
+ClaimManager::Config configOf(const ControlPlane &control, Incarnation incarnation)
 {
-    ClaimKeeper::Config config;
+    ClaimManager::Config config;
     config.instance = control.context().config.instanceId;
     config.incarnation = incarnation;
     return config;
@@ -20,13 +20,13 @@
 } // namespace
 
 ClaimService::ClaimService(ControlPlane &control, const ObjectStore &store, Incarnation incarnation,
-                           ClaimKeeper::GoneHook isGone)
+                           ClaimManager::IncarnationEndedHook isGone)
     : control_(control),
       keeper_(configOf(control, incarnation), store, seededRandom(std::random_device()()),
               control.context().events, std::move(isGone))
 {
     ClaimHooks &hooks = control_.context().claims;
-    hooks.begin = [this](const ClaimRequest &request, const ClaimKeeper::Completion &completion) {
+    hooks.begin = [this](const ClaimRequest &request, const ClaimManager::Completion &completion) {
         control_.thread().post([this, request, completion] { keeper_.begin(request, completion); });
     };
     hooks.finish = [this](const std::string &token, const ClaimOutcome &outcome) {
--- a/modules/instance/services/ClaimService.h
+++ b/modules/instance/services/ClaimService.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 #include "instance/control/ControlPlane.h"
 #include "ports/store/ObjectStore.h"
 
@@ -15,13 +15,13 @@
 {
 public:
     ClaimService(ControlPlane &control, const ObjectStore &store, Incarnation incarnation,
-                 ClaimKeeper::GoneHook isGone);
+                 ClaimManager::IncarnationEndedHook isGone);
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
 private:
     ControlPlane &control_;
-    ClaimKeeper keeper_;
+    ClaimManager keeper_;
 };
 
 } // namespace cuminrail
--- a/modules/instance/services/ControlServices.cpp
+++ b/modules/instance/services/ControlServices.cpp
@@ -31,7 +31,7 @@
     return options;
 }
 
-MemberRecord selfRecord(const InstanceConfig &config, const InstanceLife &self,
+MemberRecord selfRecord(const InstanceConfig &config, const InstanceIncarnation &self,
                         const PeerAddress &address)
 {
     MemberRecord record;
--- a/modules/instance/services/ControlServices.h
+++ b/modules/instance/services/ControlServices.h
@@ -42,7 +42,7 @@
     std::optional<std::string> engineAddress(const UpstreamId &engine) const;
 
     ControlPlane &control_;
-    InstanceLife self_;
+    InstanceIncarnation self_;
     PlatformClient client_;
     ObjectStore store_;
     EngineControl engineControl_;
--- a/modules/instance/services/DutyService.cpp
+++ b/modules/instance/services/DutyService.cpp
@@ -21,8 +21,9 @@
 
 } // namespace
 
-DutyService::DutyService(ControlPlane &control, MemberService &members, const InstanceLife &self,
-                         Ports ports, const UsageTiming &usageTiming)
+DutyService::DutyService(ControlPlane &control, MemberService &members,
+                         const InstanceIncarnation &self, Ports ports,
+                         const UsageTiming &usageTiming)
     : control_(control), members_(members), self_(self), ports_(std::move(ports)),
       usageTiming_(usageTiming), leases_(self, LeaseTiming(), leaseHooks())
 {
@@ -31,14 +32,14 @@
     control_.addState("duties", [this] { return describe(); });
 }
 
-LeaseKeeper::Hooks DutyService::leaseHooks()
+LeaseManager::Hooks DutyService::leaseHooks()
 {
-    LeaseKeeper::Hooks hooks{
+    LeaseManager::Hooks hooks{
         ports_.store, bootClock(), freshRandom(), control_.context().events, {}, {}, {}, {}};
     hooks.duties = [this] { return duties_; };
     hooks.liveMembers = [this] { return members_.usableIds(); };
-    hooks.onTaken = [this](const std::string &duty, const Authority &) { taken(duty); };
-    hooks.onLost = [this](const std::string &duty) { lost(duty); };
+    hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) { taken(duty); };
+    hooks.onLeaseLost = [this](const std::string &duty) { lost(duty); };
     return hooks;
 }
 
@@ -69,14 +70,14 @@
     }
 }
 
-std::unique_ptr<OrderKeeper> DutyService::makeOrders(const FailureDomainId &domain)
+std::unique_ptr<OrderManager> DutyService::makeOrders(const FailureDomainId &domain)
 {
-    OrderKeeper::Hooks hooks{{ports_.store, ports_.engines, bootClock(), freshRandom(),
-                              control_.context().events,
-                              [this, domain] { return authorityOf(domain); },
-                              [](const OrderRecord &) {}, self_.instance.text()},
-                             {}};
-    hooks.weightTicket = [this](const WantedOrder &wanted, auto done) {
+    OrderManager::Hooks hooks{{ports_.store, ports_.engines, bootClock(), freshRandom(),
+                               control_.context().events,
+                               [this, domain] { return authorityOf(domain); },
+                               [](const OrderRecord &) {}, self_.instance.text()},
+                              {}};
+    hooks.weightTicket = [this](const OrderRequest &wanted, auto done) {
         ports_.weights.requestTicket(wanted.target, unknownSize, [done](const TicketReply &reply) {
             if (reply.status == TicketStatus::Granted)
                 done(std::nullopt);
@@ -84,7 +85,7 @@
                 done(reply.retryAfter + Millis::seconds(1));
         });
     };
-    return std::make_unique<OrderKeeper>(OrderTiming(), std::move(hooks));
+    return std::make_unique<OrderManager>(OrderTiming(), std::move(hooks));
 }
 
 std::unique_ptr<UsageReporter> DutyService::makeReporter(const TeamId &team)
@@ -151,7 +152,7 @@
     control_.pollUntil([this] { return leases_.isStopped(); }, std::move(done));
 }
 
-bool DutyService::order(const WantedOrder &wanted, Reason *lastReason)
+bool DutyService::order(const OrderRequest &wanted, Reason *lastReason)
 {
     const auto duty = dutyOfEngine_.find(wanted.engine);
     if (duty == dutyOfEngine_.end())
@@ -161,7 +162,7 @@
     return orders_[duty->second]->request(wanted, lastReason);
 }
 
-OrderKeeper *DutyService::ordersOf(const FailureDomainId &domain)
+OrderManager *DutyService::ordersOf(const FailureDomainId &domain)
 {
     const auto orders = orders_.find(ordersDuty(domain));
     return orders == orders_.end() ? nullptr : orders->second.get();
@@ -176,7 +177,7 @@
 {
     const Millis now = bootTime();
     nlohmann::json duties = nlohmann::json::array();
-    for (const LeaseKeeper::View &view : leases_.view(now)) {
+    for (const LeaseManager::View &view : leases_.view(now)) {
         nlohmann::json duty = {{"duty", view.duty}, {"held_here", view.authority.has_value()}};
         if (view.lastSeen) {
             duty["holder"] = view.lastSeen->holder.text();
@@ -184,12 +185,12 @@
         }
         const auto reporter = reporters_.find(view.duty);
         if (view.authority && reporter != reporters_.end())
-            duty["windows_to_report"] = reporter->second->unreported();
+            duty["windows_to_report"] = reporter->second->unreportedCount();
         duties.push_back(std::move(duty));
     }
     nlohmann::json orders = nlohmann::json::array();
     for (const auto &entry : orders_) {
-        for (const OrderKeeper::View &view : entry.second->view()) {
+        for (const OrderManager::View &view : entry.second->view()) {
             if (!view.outstanding)
                 continue;
             orders.push_back({{"engine", view.engine.text()},
--- a/modules/instance/services/DutyService.h
+++ b/modules/instance/services/DutyService.h
@@ -2,8 +2,8 @@
 
 #include "instance/control/ControlPlane.h"
 #include "instance/services/MemberService.h"
-#include "lease/keeper/LeaseKeeper.h"
-#include "orders/keeper/OrderKeeper.h"
+#include "lease/manager/LeaseManager.h"
+#include "orders/manager/OrderManager.h"
 #include "ports/weights/WeightStore.h"
 #include "usage/seal/UsageReporter.h"
 
@@ -32,7 +32,7 @@
         WeightStore weights;
     };
 
-    DutyService(ControlPlane &control, MemberService &members, const InstanceLife &self,
+    DutyService(ControlPlane &control, MemberService &members, const InstanceIncarnation &self,
                 Ports ports, const UsageTiming &usageTiming);
     DutyService(const DutyService &) = delete;
     DutyService &operator=(const DutyService &) = delete;
@@ -41,10 +41,10 @@
     void configure(const Settings &settings);
 
     /** Gives an order, if this instance holds the engine's duty. */
-    bool order(const WantedOrder &wanted, Reason *lastReason);
+    bool order(const OrderRequest &wanted, Reason *lastReason);
 
     /** Returns the keeper of a failure domain's orders, or null when settings name none. */
-    OrderKeeper *ordersOf(const FailureDomainId &domain);
+    OrderManager *ordersOf(const FailureDomainId &domain);
     /** Returns the right to act for a failure domain at this moment. */
     std::optional<Authority> authorityOf(const FailureDomainId &domain) const;
 
@@ -55,8 +55,8 @@
     static std::string usageDuty(const TeamId &team) { return "usage/" + team.text(); }
 
 private:
-    LeaseKeeper::Hooks leaseHooks();
-    std::unique_ptr<OrderKeeper> makeOrders(const FailureDomainId &domain);
+    LeaseManager::Hooks leaseHooks();
+    std::unique_ptr<OrderManager> makeOrders(const FailureDomainId &domain);
     std::unique_ptr<UsageReporter> makeReporter(const TeamId &team);
     void taken(const std::string &duty);
     void lost(const std::string &duty);
@@ -67,14 +67,14 @@
 
     ControlPlane &control_;
     MemberService &members_;
-    InstanceLife self_;
+    InstanceIncarnation self_;
     Ports ports_;
     UsageTiming usageTiming_;
     std::vector<std::string> duties_;
-    std::map<std::string, std::unique_ptr<OrderKeeper>> orders_;
+    std::map<std::string, std::unique_ptr<OrderManager>> orders_;
     std::map<std::string, std::unique_ptr<UsageReporter>> reporters_;
     std::map<UpstreamId, std::string> dutyOfEngine_;
-    LeaseKeeper leases_;
+    LeaseManager leases_;
 };
 
 } // namespace cuminrail
--- a/modules/instance/services/UsageService.cpp
+++ b/modules/instance/services/UsageService.cpp
@@ -1,7 +1,7 @@
 #include "instance/services/UsageService.h"
 
 #include "runtime/time/BootClock.h"
-#include "usage/flush/FlushPeriod.h"
+#include "usage/flush/FlushInterval.h"
 
 #include <algorithm>
 #include <chrono>
@@ -14,9 +14,9 @@
 
 constexpr Millis tickPeriod{100};
 
-UsageFigures figuresOf(const UsageRecord &record)
+UsageCounters figuresOf(const UsageRecord &record)
 {
-    UsageFigures figures;
+    UsageCounters figures;
     figures.promptTokens = record.promptTokens;
     figures.outputTokens = record.outputTokens;
     figures.requests = 1;
@@ -32,7 +32,7 @@
 }
 
 UsageService::UsageService(ControlPlane &control, const ObjectStore &store,
-                           const InstanceLife &self, const MemberService &members,
+                           const InstanceIncarnation &self, const MemberService &members,
                            Millis windowLength)
     : control_(control), store_(store), self_(self), members_(members), windows_(windowLength)
 {
@@ -73,9 +73,9 @@
         UsageFlusher::Hooks hooks{
             store_, bootClock(), seededRandom(std::random_device()()), {}, {}};
         hooks.currentWindow = [this] { return windows_.indexAt(calendarNow()); };
-        hooks.period = [this] {
-            return flushPeriod(members_.usable().size(),
-                               control_.builder().settings().teams.size());
+        hooks.flushInterval = [this] {
+            return flushInterval(members_.usable().size(),
+                                 control_.builder().settings().teams.size());
         };
         flusher = std::make_unique<UsageFlusher>(team, self_, std::move(hooks));
     }
--- a/modules/instance/services/UsageService.h
+++ b/modules/instance/services/UsageService.h
@@ -2,7 +2,7 @@
 
 #include "instance/control/ControlPlane.h"
 #include "instance/services/MemberService.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 #include "usage/flush/UsageFlusher.h"
 
 #include <map>
@@ -24,7 +24,7 @@
 class UsageService
 {
 public:
-    UsageService(ControlPlane &control, const ObjectStore &store, const InstanceLife &self,
+    UsageService(ControlPlane &control, const ObjectStore &store, const InstanceIncarnation &self,
                  const MemberService &members, Millis windowLength);
     UsageService(const UsageService &) = delete;
     UsageService &operator=(const UsageService &) = delete;
@@ -38,7 +38,7 @@
 
     ControlPlane &control_;
     ObjectStore store_;
-    InstanceLife self_;
+    InstanceIncarnation self_;
     const MemberService &members_;
     UsageWindows windows_;
     std::mutex mutex_;
--- a/modules/instance/serving/ClaimHooks.h
+++ b/modules/instance/serving/ClaimHooks.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 
 #include <functional>
 
@@ -14,7 +14,7 @@
 */
 struct ClaimHooks
 {
-    std::function<void(const ClaimRequest &, ClaimKeeper::Completion)> begin;
+    std::function<void(const ClaimRequest &, ClaimManager::Completion)> begin;
     std::function<void(const std::string &token, const ClaimOutcome &)> finish;
 };
 
--- a/modules/lease/spread/DutySpread.cpp
+++ b/modules/lease/assignment/DutyAssignment.cpp
@@ -1,4 +1,4 @@
-#include "lease/spread/DutySpread.h"
+#include "lease/assignment/DutyAssignment.h"
 
 #include <algorithm>
 #include <cstdint>
@@ -24,8 +24,9 @@
 
 } // namespace
 
-std::optional<std::size_t> DutySpread::rank(const std::string &duty, const InstanceId &instance,
-                                            const std::vector<InstanceId> &live, std::size_t limit)
+std::optional<std::size_t> DutyAssignment::rank(const std::string &duty, const InstanceId &instance,
+                                                const std::vector<InstanceId> &live,
+                                                std::size_t limit)
 {
     const std::uint64_t own = weight(duty, instance);
     std::size_t before = 0;
@@ -38,7 +39,7 @@
     return before;
 }
 
-std::vector<InstanceId> DutySpread::order(const std::string &duty, std::vector<InstanceId> live)
+std::vector<InstanceId> DutyAssignment::order(const std::string &duty, std::vector<InstanceId> live)
 {
     std::map<InstanceId, std::uint64_t> weights;
     for (const InstanceId &instance : live)
@@ -51,7 +52,7 @@
     return live;
 }
 
-std::size_t DutySpread::bound(std::size_t duties, std::size_t instances)
+std::size_t DutyAssignment::maxDuties(std::size_t duties, std::size_t instances)
 {
     const std::size_t sharers = std::max<std::size_t>(instances, 1);
     return (duties + sharers - 1) / sharers + 1;
--- a/modules/lease/spread/DutySpread.h
+++ b/modules/lease/assignment/DutyAssignment.h
@@ -15,7 +15,7 @@
     Each duty orders the live instances by a hash of both names (rendezvous hashing), so that an
     instance that joins or leaves moves only its own share.
 */
-class DutySpread
+class DutyAssignment
 {
 public:
     /** Returns the rank of an instance for a duty among the first @c limit, 0 being the first. */
@@ -26,7 +26,7 @@
     static std::vector<InstanceId> order(const std::string &duty, std::vector<InstanceId> live);
 
     /** Returns how many duties one of @c instances may hold: its fair share plus one. */
-    static std::size_t bound(std::size_t duties, std::size_t instances);
+    static std::size_t maxDuties(std::size_t duties, std::size_t instances);
 };
 
 } // namespace cuminrail
--- a/modules/lease/lease.h
+++ b/modules/lease/lease.h
@@ -12,8 +12,8 @@
     Depends on: core, ports, nlohmann-json.
 */
 
-#include "lease/keeper/DutyLease.h"
-#include "lease/keeper/LeaseKeeper.h"
-#include "lease/keeper/LeaseTiming.h"
+#include "lease/assignment/DutyAssignment.h"
+#include "lease/manager/DutyLease.h"
+#include "lease/manager/LeaseManager.h"
+#include "lease/manager/LeaseTiming.h"
 #include "lease/record/LeaseRecord.h"
-#include "lease/spread/DutySpread.h"
--- a/modules/lease/keeper/DutyLease.cpp
+++ b/modules/lease/manager/DutyLease.cpp
@@ -1,4 +1,4 @@
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 
 #include "core/events/EventCatalogue.h"
 #include "core/guards/Guards.h"
@@ -7,11 +7,12 @@
 
 namespace cuminrail {
 
-DutyLease::DutyLease(std::string duty, InstanceLife self, const LeaseTiming &timing, Hooks hooks)
+DutyLease::DutyLease(std::string duty, InstanceIncarnation self, const LeaseTiming &timing,
+                     Hooks hooks)
     : duty_(std::move(duty)), self_(std::move(self)), timing_(timing), hooks_(std::move(hooks))
 {
     // Jitter: instances that start together must not all read in the same millisecond.
-    nextAt_ = hooks_.clock.now() + withJitter(timing_.retryFirst);
+    nextAt_ = hooks_.clock.now() + withJitter(timing_.firstRetryDelay);
 }
 
 std::optional<Authority> DutyLease::authority(Millis now) const
@@ -72,16 +73,16 @@
 Millis DutyLease::acquireAt(const Candidacy &candidacy) const
 {
     const LeaseRecord &record = observed_->record;
-    Millis wait = timing_.stagger * static_cast<std::int64_t>(candidacy.place);
+    Millis wait = timing_.stagger * static_cast<std::int64_t>(candidacy.rank);
     if (!candidacy.hasRoom)
-        wait += timing_.fullDelay;
+        wait += timing_.fullShareDelay;
     // An instance that does not read the lease regularly would write from stale data. It acts only
     // right after a list, on a lease that has not changed since the list before.
     if (!candidacy.isCandidate) {
         const bool isFresh = hooks_.clock.now() - observed_->lastSeen < Millis::seconds(1);
         if (!isFresh)
             return Millis::never();
-        return observed_->firstSeen + timing_.listEvery / 2 + record.term;
+        return observed_->firstSeen + timing_.listInterval / 2 + record.term;
     }
     const bool isFree = observed_->version == 0 || record.isReleased() || isOwn(record);
     // The holder counts its term on its own clock, from before it sent the write that created this
@@ -105,8 +106,8 @@
         return;
     held_.reset();
     hooks_.events(Event{&events::leaseLost, {{"duty", duty_}, {"why", why}}});
-    if (hooks_.onLost)
-        hooks_.onLost();
+    if (hooks_.onLeaseLost)
+        hooks_.onLeaseLost();
 }
 
 void DutyLease::release()
@@ -208,7 +209,7 @@
     }
     readBackDue_ = false;
     retryDelay_ = Millis(0);
-    nextAt_ = hooks_.clock.now() + withJitter(timing_.pollEvery);
+    nextAt_ = hooks_.clock.now() + withJitter(timing_.pollInterval);
     if (reply.status == StoreStatus::Ok && !reply.objects.empty()) {
         observe(reply.objects.front());
         return;
@@ -245,7 +246,7 @@
     if (held_ && record.token != held_->token)
         lose("replaced");
     if (held_)
-        nextAt_ = now + timing_.retryFirst;
+        nextAt_ = now + timing_.firstRetryDelay;
     else if (!releaseRequested_ && isOwn(record))
         nextAt_ = now;
     if (!isOwn(record))
@@ -264,7 +265,7 @@
     observed_ = Observed{version, write.record, now, now};
     if (write.record.isReleased()) {
         releaseRequested_ = false;
-        nextAt_ = now + withJitter(timing_.pollEvery);
+        nextAt_ = now + withJitter(timing_.pollInterval);
         return;
     }
     // A successor counts from when the store showed it this version, which can be long before the
@@ -279,26 +280,26 @@
     }
     const bool isNew = !held_;
     held_ = Held{write.record.fence, validUntil, write.record.token};
-    nextAt_ = write.sentAt + timing_.renewEvery;
+    nextAt_ = write.sentAt + timing_.renewInterval;
     if (!isNew)
         return;
     hooks_.events(
         Event{&events::leaseTaken, {{"duty", duty_}, {"fence", std::to_string(held_->fence)}}});
-    if (hooks_.onTaken)
-        hooks_.onTaken(Authority{held_->fence, held_->validUntil});
+    if (hooks_.onLeaseAcquired)
+        hooks_.onLeaseAcquired(Authority{held_->fence, held_->validUntil});
 }
 
 void DutyLease::scheduleRetry()
 {
     const Millis now = hooks_.clock.now();
     if (held_) {
-        nextAt_ = now + timing_.retryFirst;
+        nextAt_ = now + timing_.firstRetryDelay;
         return;
     }
     // After an outage of the store every instance finds it available at once. Exponential back-off
     // with jitter keeps them from calling together.
-    const Millis doubled = std::max(timing_.retryFirst, retryDelay_ * 2);
-    retryDelay_ = std::min(timing_.retryMost, doubled);
+    const Millis doubled = std::max(timing_.firstRetryDelay, retryDelay_ * 2);
+    retryDelay_ = std::min(timing_.maxRetryDelay, doubled);
     nextAt_ = now + retryDelay_ / 2 + withJitter(retryDelay_ / 2);
 }
 
--- a/modules/lease/keeper/DutyLease.h
+++ b/modules/lease/manager/DutyLease.h
@@ -3,7 +3,7 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "lease/keeper/LeaseTiming.h"
+#include "lease/manager/LeaseTiming.h"
 #include "lease/record/LeaseRecord.h"
 #include "ports/store/ObjectStore.h"
 
@@ -25,7 +25,7 @@
 };
 
 /** The instance that runs this code, and its incarnation. */
-struct InstanceLife
+struct InstanceIncarnation
 {
     InstanceId instance;
     Incarnation incarnation = 0;
@@ -37,7 +37,7 @@
     /** Reads the lease regularly and acquires it when it expires. */
     bool isCandidate = false;
     /** 0 for the first candidate; later ones wait longer. */
-    std::size_t place = 0;
+    std::size_t rank = 0;
     /** Holds fewer duties than its share. */
     bool hasRoom = true;
     /** May write to acquire the lease in this tick; limits the rate over all duties. */
@@ -61,12 +61,12 @@
         RandomHook random;
         EventSink events;
         /** The lease was acquired; orders may be sent until it is lost. */
-        std::function<void(const Authority &)> onTaken;
+        std::function<void(const Authority &)> onLeaseAcquired;
         /** The lease was lost or is being released. */
-        std::function<void()> onLost;
+        std::function<void()> onLeaseLost;
     };
 
-    DutyLease(std::string duty, InstanceLife self, const LeaseTiming &timing, Hooks hooks);
+    DutyLease(std::string duty, InstanceIncarnation self, const LeaseTiming &timing, Hooks hooks);
     DutyLease(const DutyLease &) = delete;
     DutyLease &operator=(const DutyLease &) = delete;
 
@@ -125,7 +125,7 @@
     Millis withJitter(Millis span) const;
 
     std::string duty_;
-    InstanceLife self_;
+    InstanceIncarnation self_;
     LeaseTiming timing_;
     Hooks hooks_;
     std::optional<Observed> observed_;
--- a/modules/lease/keeper/LeaseKeeper.cpp
+++ b/modules/lease/manager/LeaseManager.cpp
@@ -1,4 +1,4 @@
-#include "lease/keeper/LeaseKeeper.h"
+#include "lease/manager/LeaseManager.h"
 
 #include <algorithm>
 #include <set>
@@ -9,16 +9,16 @@
 constexpr Millis refreshInterval{1000};
 } // namespace
 
-LeaseKeeper::LeaseKeeper(InstanceLife self, const LeaseTiming &timing, Hooks hooks)
+LeaseManager::LeaseManager(InstanceIncarnation self, const LeaseTiming &timing, Hooks hooks)
     : self_(std::move(self)), timing_(timing), hooks_(std::move(hooks))
 {
     const Millis now = hooks_.clock.now();
-    const auto width = static_cast<std::uint64_t>(timing_.listEvery.count());
+    const auto width = static_cast<std::uint64_t>(timing_.listInterval.count());
     nextList_ = now + Millis(static_cast<std::int64_t>(hooks_.random() % width));
-    nextRebalance_ = now + timing_.rebalanceEvery;
+    nextRebalance_ = now + timing_.rebalanceInterval;
 }
 
-void LeaseKeeper::tick()
+void LeaseManager::tick()
 {
     const Millis now = hooks_.clock.now();
     if (now >= nextRefresh_)
@@ -34,23 +34,23 @@
         lease->tick(Candidacy{false, 0, false, false});
 }
 
-void LeaseKeeper::refresh(Millis now)
+void LeaseManager::refresh(Millis now)
 {
     nextRefresh_ = now + refreshInterval;
     updateDuties();
     std::vector<InstanceId> live = hooks_.liveMembers();
     if (std::find(live.begin(), live.end(), self_.instance) == live.end())
         live.push_back(self_.instance);
-    maxDuties_ = DutySpread::bound(leases_.size(), live.size());
+    maxDuties_ = DutyAssignment::maxDuties(leases_.size(), live.size());
     ranks_.clear();
     for (const auto &[duty, lease] : leases_) {
-        const auto rank = DutySpread::rank(duty, self_.instance, live, timing_.candidates);
+        const auto rank = DutyAssignment::rank(duty, self_.instance, live, timing_.candidates);
         if (rank)
             ranks_[duty] = *rank;
     }
 }
 
-void LeaseKeeper::updateDuties()
+void LeaseManager::updateDuties()
 {
     const std::vector<std::string> wanted = hooks_.duties();
     const std::set<std::string> wantedSet(wanted.begin(), wanted.end());
@@ -70,24 +70,24 @@
         if (leases_.count(duty) != 0)
             continue;
         DutyLease::Hooks hooks{hooks_.store, hooks_.clock, hooks_.random, hooks_.events, {}, {}};
-        hooks.onTaken = [this, duty](const Authority &authority) {
-            if (hooks_.onTaken)
-                hooks_.onTaken(duty, authority);
+        hooks.onLeaseAcquired = [this, duty](const Authority &authority) {
+            if (hooks_.onLeaseAcquired)
+                hooks_.onLeaseAcquired(duty, authority);
         };
-        hooks.onLost = [this, duty] {
-            if (hooks_.onLost)
-                hooks_.onLost(duty);
+        hooks.onLeaseLost = [this, duty] {
+            if (hooks_.onLeaseLost)
+                hooks_.onLeaseLost(duty);
         };
         leases_[duty] = std::make_unique<DutyLease>(duty, self_, timing_, std::move(hooks));
     }
 }
 
-Candidacy LeaseKeeper::candidacy(const std::string &duty, bool hasRoom, Millis now) const
+Candidacy LeaseManager::candidacy(const std::string &duty, bool hasRoom, Millis now) const
 {
     Candidacy candidacy;
     const auto rank = ranks_.find(duty);
     candidacy.isCandidate = rank != ranks_.end();
-    candidacy.place = candidacy.isCandidate ? rank->second : timing_.candidates;
+    candidacy.rank = candidacy.isCandidate ? rank->second : timing_.candidates;
     candidacy.hasRoom = hasRoom;
     const auto cooldown = cooldownUntil_.find(duty);
     const bool isCoolingDown = cooldown != cooldownUntil_.end() && now < cooldown->second;
@@ -95,16 +95,16 @@
     return candidacy;
 }
 
-void LeaseKeeper::listIfDue(Millis now)
+void LeaseManager::listIfDue(Millis now)
 {
     if (listing_ || stopping_ || now < nextList_)
         return;
     listing_ = true;
-    nextList_ = now + timing_.listEvery;
+    nextList_ = now + timing_.listInterval;
     hooks_.store.list("leases/", [this](const StoreReply &reply) { listed(reply); });
 }
 
-void LeaseKeeper::listed(const StoreReply &reply)
+void LeaseManager::listed(const StoreReply &reply)
 {
     listing_ = false;
     if (reply.status != StoreStatus::Ok)
@@ -116,11 +116,11 @@
     }
 }
 
-void LeaseKeeper::rebalanceIfDue(Millis now)
+void LeaseManager::rebalanceIfDue(Millis now)
 {
     if (stopping_ || now < nextRebalance_)
         return;
-    nextRebalance_ = now + timing_.rebalanceEvery;
+    nextRebalance_ = now + timing_.rebalanceInterval;
     const std::vector<std::string> heldDuties = held(now);
     if (heldDuties.size() <= maxDuties_)
         return;
@@ -140,7 +140,7 @@
     leases_.at(released)->release();
 }
 
-std::optional<Authority> LeaseKeeper::authority(const std::string &duty, Millis now) const
+std::optional<Authority> LeaseManager::authority(const std::string &duty, Millis now) const
 {
     const auto lease = leases_.find(duty);
     if (lease == leases_.end())
@@ -148,7 +148,7 @@
     return lease->second->authority(now);
 }
 
-std::vector<std::string> LeaseKeeper::held(Millis now) const
+std::vector<std::string> LeaseManager::held(Millis now) const
 {
     std::vector<std::string> duties;
     for (const auto &[duty, lease] : leases_) {
@@ -158,7 +158,7 @@
     return duties;
 }
 
-std::size_t LeaseKeeper::heldCount(Millis now) const
+std::size_t LeaseManager::heldCount(Millis now) const
 {
     return static_cast<std::size_t>(
         std::count_if(leases_.begin(), leases_.end(), [now](const auto &entry) {
@@ -166,21 +166,21 @@
         }));
 }
 
-void LeaseKeeper::stop()
+void LeaseManager::stop()
 {
     stopping_ = true;
     for (auto &[duty, lease] : leases_)
         lease->release();
 }
 
-bool LeaseKeeper::isStopped() const
+bool LeaseManager::isStopped() const
 {
     return stopping_ && std::all_of(leases_.begin(), leases_.end(), [](const auto &entry) {
                return entry.second->isQuiet();
            });
 }
 
-std::vector<LeaseKeeper::View> LeaseKeeper::view(Millis now) const
+std::vector<LeaseManager::View> LeaseManager::view(Millis now) const
 {
     std::vector<View> views;
     for (const auto &[duty, lease] : leases_)
--- a/modules/lease/keeper/LeaseKeeper.h
+++ b/modules/lease/manager/LeaseManager.h
@@ -1,7 +1,7 @@
 #pragma once
 
-#include "lease/keeper/DutyLease.h"
-#include "lease/spread/DutySpread.h"
+#include "lease/assignment/DutyAssignment.h"
+#include "lease/manager/DutyLease.h"
 
 #include <functional>
 #include <map>
@@ -21,7 +21,7 @@
 
     @see DutyLease, DutyAssignment, docs/LEASES.md
 */
-class LeaseKeeper
+class LeaseManager
 {
 public:
     struct Hooks
@@ -34,8 +34,8 @@
         std::function<std::vector<std::string>()> duties;
         /** The instances considered alive, with or without this one. */
         std::function<std::vector<InstanceId>()> liveMembers;
-        std::function<void(const std::string &duty, const Authority &)> onTaken;
-        std::function<void(const std::string &duty)> onLost;
+        std::function<void(const std::string &duty, const Authority &)> onLeaseAcquired;
+        std::function<void(const std::string &duty)> onLeaseLost;
     };
 
     /** The state of one duty for the state dump. */
@@ -46,9 +46,9 @@
         std::optional<Authority> authority;
     };
 
-    LeaseKeeper(InstanceLife self, const LeaseTiming &timing, Hooks hooks);
-    LeaseKeeper(const LeaseKeeper &) = delete;
-    LeaseKeeper &operator=(const LeaseKeeper &) = delete;
+    LeaseManager(InstanceIncarnation self, const LeaseTiming &timing, Hooks hooks);
+    LeaseManager(const LeaseManager &) = delete;
+    LeaseManager &operator=(const LeaseManager &) = delete;
 
     /** Performs due work. */
     void tick();
@@ -74,7 +74,7 @@
     Candidacy candidacy(const std::string &duty, bool hasRoom, Millis now) const;
     std::size_t heldCount(Millis now) const;
 
-    InstanceLife self_;
+    InstanceIncarnation self_;
     LeaseTiming timing_;
     Hooks hooks_;
     std::map<std::string, std::unique_ptr<DutyLease>> leases_;
--- a/modules/lease/keeper/LeaseKeeper_test.cpp
+++ b/modules/lease/manager/LeaseManager_test.cpp
@@ -15,7 +15,7 @@
 struct Node
 {
     FakeProcessPtr process;
-    std::unique_ptr<LeaseKeeper> manager;
+    std::unique_ptr<LeaseManager> manager;
     /** Offset of this node's clock from the others'. */
     Millis clockOffset;
 };
@@ -44,7 +44,7 @@
         node.process = std::make_shared<FakeProcess>(name);
         node.clockOffset = Millis(static_cast<std::int64_t>(nodes.size()) * 1234567);
         members.emplace_back(name);
-        LeaseKeeper::Hooks hooks{
+        LeaseManager::Hooks hooks{
             store.port(node.process),
             Clock([this, &node] { return scheduler.now() + node.clockOffset; }),
             scheduler.random(),
@@ -53,8 +53,8 @@
             [this] { return members; },
             {},
             {}};
-        node.manager = std::make_unique<LeaseKeeper>(InstanceLife{InstanceId(name), incarnation},
-                                                     LeaseTiming{}, std::move(hooks));
+        node.manager = std::make_unique<LeaseManager>(
+            InstanceIncarnation{InstanceId(name), incarnation}, LeaseTiming{}, std::move(hooks));
     }
 
     void run(Millis span)
--- a/modules/lease/keeper/LeaseTiming.h
+++ b/modules/lease/manager/LeaseTiming.h
@@ -16,8 +16,8 @@
 struct LeaseTiming
 {
     Millis term{5000};
-    Millis renewEvery{1500};
-    Millis pollEvery{1500};
+    Millis renewInterval{1500};
+    Millis pollInterval{1500};
     /** The holder stops acting this long before its term ends, as clocks run at different rates. */
     Millis margin{500};
     /** Additional delay of a candidate for each rank. */
@@ -26,16 +26,16 @@
         Additional delay of a candidate that already holds its share: acquiring late is better than
         never.
     */
-    Millis fullDelay{1500};
+    Millis fullShareDelay{1500};
     /** How often all leases are listed, to find those that no candidate acquires. */
-    Millis listEvery = Millis::seconds(30);
+    Millis listInterval = Millis::seconds(30);
     /** At most one duty is released for rebalancing in this interval. */
-    Millis rebalanceEvery = Millis::seconds(5);
+    Millis rebalanceInterval = Millis::seconds(5);
     /** How long an instance leaves a duty that it released for rebalancing to others. */
     Millis rebalanceCooldown = Millis::seconds(15);
     Millis acquireInterval{50};
-    Millis retryFirst{300};
-    Millis retryMost = Millis::seconds(8);
+    Millis firstRetryDelay{300};
+    Millis maxRetryDelay = Millis::seconds(8);
     std::size_t candidates = 3;
 };
 
--- a/modules/orders/track/EngineOrderTrack.cpp
+++ b/modules/orders/controller/EngineOrderController.cpp
@@ -1,17 +1,18 @@
-#include "orders/track/EngineOrderTrack.h"
+#include "orders/controller/EngineOrderController.h"
 
 #include "core/events/EventCatalogue.h"
 #include "core/guards/Guards.h"
 
 namespace cuminrail {
 
-EngineOrderTrack::EngineOrderTrack(OrderedEngine engine, const OrderTiming &timing, Hooks hooks)
+EngineOrderController::EngineOrderController(OrderedEngine engine, const OrderTiming &timing,
+                                             Hooks hooks)
     : engine_(std::move(engine)), timing_(timing), hooks_(std::move(hooks))
 { }
 
 template<typename Reply>
 std::function<void(const Reply &)>
-EngineOrderTrack::guardCompletion(void (EngineOrderTrack::*method)(const Reply &))
+EngineOrderController::guardCompletion(void (EngineOrderController::*method)(const Reply &))
 {
     return [this, method, epoch = epoch_](const Reply &reply) {
         if (epoch != epoch_)
@@ -21,7 +22,7 @@
     };
 }
 
-void EngineOrderTrack::start()
+void EngineOrderController::start()
 {
     ++epoch_;
     busy_ = false;
@@ -32,14 +33,14 @@
     record_ = OrderRecord{};
 }
 
-void EngineOrderTrack::stop()
+void EngineOrderController::stop()
 {
     ++epoch_;
     busy_ = false;
     stage_ = Stage::Off;
 }
 
-std::optional<OrderRecord> EngineOrderTrack::outstanding() const
+std::optional<OrderRecord> EngineOrderController::outstanding() const
 {
     const bool hasOrder = stage_ == Stage::Recording || stage_ == Stage::Sending
         || stage_ == Stage::InDoubt || stage_ == Stage::RecordingResult;
@@ -48,20 +49,20 @@
     return record_;
 }
 
-std::optional<OrderRecord> EngineOrderTrack::lastSettled() const
+std::optional<OrderRecord> EngineOrderController::lastSettled() const
 {
     if (stage_ != Stage::Idle || record_.order.orderId.empty())
         return std::nullopt;
     return record_;
 }
 
-bool EngineOrderTrack::hasAuthority() const
+bool EngineOrderController::hasAuthority() const
 {
     const auto authority = hooks_.authority();
     return authority && authority->notAfter - hooks_.clock.now() >= timing_.sendMargin;
 }
 
-bool EngineOrderTrack::tick(bool mayRead)
+bool EngineOrderController::tick(bool mayRead)
 {
     if (stage_ == Stage::Off || stage_ == Stage::Idle || busy_ || hooks_.clock.now() < nextAt_)
         return false;
@@ -80,7 +81,7 @@
     fence rises with each order: the lease's fence in the upper bits, a sequence number in the lower
     ones.
 */
-FenceNumber EngineOrderTrack::nextFence(const Authority &authority)
+FenceNumber EngineOrderController::nextFence(const Authority &authority)
 {
     // A lease that expired can come back under the same fence, when a renewal whose reply was lost
     // is found to have taken effect. The sequence continues then; restarted at zero it would fall.
@@ -92,14 +93,15 @@
     return authority.fence * ordersPerHolder + sequence_;
 }
 
-void EngineOrderTrack::scheduleNext(Millis span)
+void EngineOrderController::scheduleNext(Millis span)
 {
     const auto width = static_cast<std::uint64_t>(span.count() / 2 + 1);
     nextAt_ =
         hooks_.clock.now() + span / 2 + Millis(static_cast<std::int64_t>(hooks_.random() % width));
 }
 
-bool EngineOrderTrack::request(EngineOrderKind kind, const std::string &target, Reason *lastReason)
+bool EngineOrderController::request(EngineOrderKind kind, const std::string &target,
+                                    Reason *lastReason)
 {
     if (stage_ != Stage::Idle)
         return fail(lastReason, engine_.id.text(), "another order is not settled yet");
@@ -126,7 +128,7 @@
     return true;
 }
 
-void EngineOrderTrack::write(Stage stage)
+void EngineOrderController::write(Stage stage)
 {
     stage_ = stage;
     busy_ = true;
@@ -135,12 +137,12 @@
     put.path = OrderRecord::path(engine_.id);
     put.value = record_.toText();
     put.expected = version_;
-    const auto method =
-        stage == Stage::Recording ? &EngineOrderTrack::recorded : &EngineOrderTrack::resultRecorded;
+    const auto method = stage == Stage::Recording ? &EngineOrderController::recorded
+                                                  : &EngineOrderController::resultRecorded;
     hooks_.store.put(put, guardCompletion<StoreReply>(method));
 }
 
-void EngineOrderTrack::recorded(const StoreReply &reply)
+void EngineOrderController::recorded(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::Ok) {
         version_ = reply.version;
@@ -153,17 +155,17 @@
     }
     // The next read shows whether the record was stored; nothing has been sent.
     stage_ = Stage::Reading;
-    scheduleNext(timing_.retryEvery);
+    scheduleNext(timing_.retryInterval);
 }
 
-void EngineOrderTrack::read()
+void EngineOrderController::read()
 {
     busy_ = true;
     hooks_.store.get(OrderRecord::path(engine_.id),
-                     guardCompletion<StoreReply>(&EngineOrderTrack::readDone));
+                     guardCompletion<StoreReply>(&EngineOrderController::readDone));
 }
 
-void EngineOrderTrack::readDone(const StoreReply &reply)
+void EngineOrderController::readDone(const StoreReply &reply)
 {
     if (reply.status == StoreStatus::NotFound) {
         version_ = 0;
@@ -171,21 +173,21 @@
         return;
     }
     if (reply.status != StoreStatus::Ok || reply.objects.empty()) {
-        scheduleNext(timing_.retryEvery);
+        scheduleNext(timing_.retryInterval);
         return;
     }
     const StoreObject &object = reply.objects.front();
     const auto record = OrderRecord::fromText(engine_.id, object.value, nullptr);
     // An unreadable record may hide an order; nothing is sent until an operator has checked it.
     if (!record) {
-        scheduleNext(timing_.retryEvery * 10);
+        scheduleNext(timing_.retryInterval * 10);
         return;
     }
     version_ = object.version;
     adoptRecord(*record);
 }
 
-void EngineOrderTrack::adoptRecord(const OrderRecord &record)
+void EngineOrderController::adoptRecord(const OrderRecord &record)
 {
     // An order of a previous holder may still be in transit. A different one sent now would
     // conflict with it: the engine would execute both, or the older one last.
@@ -215,7 +217,7 @@
     }
 }
 
-void EngineOrderTrack::send()
+void EngineOrderController::send()
 {
     unsentOrderId_.clear();
     const auto authority = hooks_.authority();
@@ -223,7 +225,7 @@
     // expired.
     if (guardEnabled(Guard::AuthorityCheckedBeforeSend) && !hasAuthority()) {
         stage_ = Stage::Reading;
-        scheduleNext(timing_.retryEvery);
+        scheduleNext(timing_.retryInterval);
         return;
     }
     stage_ = Stage::Sending;
@@ -231,10 +233,11 @@
     sentAt_ = hooks_.clock.now();
     EngineOrder order = record_.order;
     order.notAfter = authority ? authority->notAfter : hooks_.clock.now() + timing_.sendMargin;
-    hooks_.engines.send(order, guardCompletion<OrderReply>(&EngineOrderTrack::handleOrderReply));
+    hooks_.engines.send(order,
+                        guardCompletion<OrderReply>(&EngineOrderController::handleOrderReply));
 }
 
-void EngineOrderTrack::handleOrderReply(const OrderReply &reply)
+void EngineOrderController::handleOrderReply(const OrderReply &reply)
 {
     const bool hadNoEffect =
         reply.status == OrderStatus::Refused || reply.status == OrderStatus::NotSent;
@@ -248,19 +251,19 @@
         hooks_.events(Event{&events::orderInDoubt,
                             {{"engine", engine_.id.text()}, {"order", record_.order.orderId}}});
     stage_ = Stage::InDoubt;
-    scheduleNext(timing_.settleEvery);
+    scheduleNext(timing_.settleInterval);
 }
 
-void EngineOrderTrack::readState()
+void EngineOrderController::readState()
 {
     busy_ = true;
     hooks_.engines.readState(
-        engine_.id, guardCompletion<std::optional<EngineState>>(&EngineOrderTrack::stateRead));
+        engine_.id, guardCompletion<std::optional<EngineState>>(&EngineOrderController::stateRead));
 }
 
-void EngineOrderTrack::stateRead(const std::optional<EngineState> &state)
+void EngineOrderController::stateRead(const std::optional<EngineState> &state)
 {
-    scheduleNext(timing_.settleEvery);
+    scheduleNext(timing_.settleInterval);
     if (!state || state->currentOrderId == record_.order.orderId)
         return;
     if (state->lastOrderId == record_.order.orderId) {
@@ -274,7 +277,7 @@
     settle(stateSatisfies(*state, record_.order) ? OrderPhase::Done : OrderPhase::NoEffect);
 }
 
-bool EngineOrderTrack::mayStillArrive(const EngineState &state) const
+bool EngineOrderController::mayStillArrive(const EngineState &state) const
 {
     if (!guardEnabled(Guard::WaitForSendsInFlight))
         return false;
@@ -288,17 +291,17 @@
     return ownMayStillArrive || (previousMayStillArrive && !isFenced);
 }
 
-void EngineOrderTrack::settle(OrderPhase phase)
+void EngineOrderController::settle(OrderPhase phase)
 {
     record_.phase = phase;
     write(Stage::RecordingResult);
 }
 
-void EngineOrderTrack::resultRecorded(const StoreReply &reply)
+void EngineOrderController::resultRecorded(const StoreReply &reply)
 {
     if (reply.status != StoreStatus::Ok) {
         stage_ = Stage::Reading;
-        scheduleNext(timing_.retryEvery);
+        scheduleNext(timing_.retryInterval);
         return;
     }
     version_ = reply.version;
--- a/modules/orders/track/EngineOrderTrack.h
+++ b/modules/orders/controller/EngineOrderController.h
@@ -3,7 +3,7 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 #include "orders/record/OrderRecord.h"
 #include "ports/store/ObjectStore.h"
 
@@ -23,8 +23,8 @@
         ended.
     */
     Millis maxInFlight = Millis::seconds(5);
-    Millis settleEvery{500};
-    Millis retryEvery{500};
+    Millis settleInterval{500};
+    Millis retryInterval{500};
 };
 
 /**
@@ -48,7 +48,7 @@
     is written conditionally on its version, so that of two instances that both consider themselves
     the holder only one can add an order after the same predecessor.
 */
-class EngineOrderTrack
+class EngineOrderController
 {
 public:
     enum class Stage : std::uint8_t {
@@ -81,9 +81,9 @@
         std::string instance;
     };
 
-    EngineOrderTrack(OrderedEngine engine, const OrderTiming &timing, Hooks hooks);
-    EngineOrderTrack(const EngineOrderTrack &) = delete;
-    EngineOrderTrack &operator=(const EngineOrderTrack &) = delete;
+    EngineOrderController(OrderedEngine engine, const OrderTiming &timing, Hooks hooks);
+    EngineOrderController(const EngineOrderController &) = delete;
+    EngineOrderController &operator=(const EngineOrderController &) = delete;
 
     /** Starts as the holder: settles first what a previous holder left. */
     void start();
@@ -108,7 +108,7 @@
     /** Wraps a completion so that it does nothing after stop() or a later start(). */
     template<typename Reply>
     std::function<void(const Reply &)>
-    guardCompletion(void (EngineOrderTrack::*method)(const Reply &));
+    guardCompletion(void (EngineOrderController::*method)(const Reply &));
 
     void read();
     void readDone(const StoreReply &reply);
@@ -149,14 +149,14 @@
     std::string unsentOrderId_;
 };
 
-inline constexpr NameTable<EngineOrderTrack::Stage, 7> orderStageNames{{{
-    {EngineOrderTrack::Stage::Off, "off"},
-    {EngineOrderTrack::Stage::Reading, "reading"},
-    {EngineOrderTrack::Stage::Idle, "idle"},
-    {EngineOrderTrack::Stage::Recording, "recording"},
-    {EngineOrderTrack::Stage::Sending, "sending"},
-    {EngineOrderTrack::Stage::InDoubt, "in-doubt"},
-    {EngineOrderTrack::Stage::RecordingResult, "recording-result"},
+inline constexpr NameTable<EngineOrderController::Stage, 7> orderStageNames{{{
+    {EngineOrderController::Stage::Off, "off"},
+    {EngineOrderController::Stage::Reading, "reading"},
+    {EngineOrderController::Stage::Idle, "idle"},
+    {EngineOrderController::Stage::Recording, "recording"},
+    {EngineOrderController::Stage::Sending, "sending"},
+    {EngineOrderController::Stage::InDoubt, "in-doubt"},
+    {EngineOrderController::Stage::RecordingResult, "recording-result"},
 }}};
 
 } // namespace cuminrail
--- a/modules/orders/keeper/OrderKeeper.cpp
+++ b/modules/orders/manager/OrderManager.cpp
@@ -1,4 +1,4 @@
-#include "orders/keeper/OrderKeeper.h"
+#include "orders/manager/OrderManager.h"
 
 #include <algorithm>
 #include <set>
@@ -20,11 +20,11 @@
 
 } // namespace
 
-OrderKeeper::OrderKeeper(const OrderTiming &timing, Hooks hooks)
+OrderManager::OrderManager(const OrderTiming &timing, Hooks hooks)
     : timing_(timing), hooks_(std::move(hooks))
 { }
 
-void OrderKeeper::setEngines(const std::vector<OrderedEngine> &engines)
+void OrderManager::setEngines(const std::vector<OrderedEngine> &engines)
 {
     std::set<UpstreamId> wanted;
     for (const OrderedEngine &engine : engines) {
@@ -34,7 +34,7 @@
             controller->setChecksFence(engine.checksFence);
             continue;
         }
-        controller = std::make_unique<EngineOrderTrack>(engine, timing_, hooks_.controller);
+        controller = std::make_unique<EngineOrderController>(engine, timing_, hooks_.controller);
         if (isActive_)
             controller->start();
     }
@@ -44,7 +44,7 @@
     }
 }
 
-void OrderKeeper::onLeaseAcquired()
+void OrderManager::onLeaseAcquired()
 {
     isActive_ = true;
     ++epoch_;
@@ -53,7 +53,7 @@
         controller->start();
 }
 
-void OrderKeeper::onLeaseLost()
+void OrderManager::onLeaseLost()
 {
     isActive_ = false;
     ++epoch_;
@@ -62,7 +62,7 @@
         controller->stop();
 }
 
-void OrderKeeper::tick()
+void OrderManager::tick()
 {
     int reads = 0;
     for (auto &[id, controller] : controllers_) {
@@ -72,7 +72,7 @@
     startNextLoad();
 }
 
-bool OrderKeeper::request(const WantedOrder &wanted, Reason *lastReason)
+bool OrderManager::request(const OrderRequest &wanted, Reason *lastReason)
 {
     const auto controller = controllers_.find(wanted.engine);
     if (controller == controllers_.end())
@@ -83,7 +83,7 @@
         return fail(lastReason, wanted.engine.text(),
                     "this instance does not hold the lease of the duty");
     const bool isQueued =
-        std::any_of(queuedLoads_.begin(), queuedLoads_.end(), [&](const WantedOrder &other) {
+        std::any_of(queuedLoads_.begin(), queuedLoads_.end(), [&](const OrderRequest &other) {
             return other.engine == wanted.engine && other.target == wanted.target;
         });
     if (!isQueued)
@@ -91,7 +91,7 @@
     return true;
 }
 
-void OrderKeeper::startNextLoad()
+void OrderManager::startNextLoad()
 {
     if (ticketRequested_ || queuedLoads_.empty() || hooks_.controller.clock.now() < nextTicketAt_)
         return;
@@ -99,21 +99,21 @@
     // go first, and one whose engine is busy does not block the others.
     std::stable_sort(
         queuedLoads_.begin(), queuedLoads_.end(),
-        [](const WantedOrder &a, const WantedOrder &b) { return a.urgency > b.urgency; });
+        [](const OrderRequest &a, const OrderRequest &b) { return a.urgency > b.urgency; });
     const auto ready =
         std::find_if(queuedLoads_.begin(), queuedLoads_.end(),
-                     [this](const WantedOrder &load) { return isIdle(load.engine); });
+                     [this](const OrderRequest &load) { return isIdle(load.engine); });
     if (ready == queuedLoads_.end())
         return;
     ticketRequested_ = true;
-    const WantedOrder wanted = *ready;
+    const OrderRequest wanted = *ready;
     hooks_.weightTicket(wanted, [this, wanted, epoch = epoch_](const std::optional<Millis> &when) {
         if (epoch == epoch_)
             handleTicket(wanted, when);
     });
 }
 
-void OrderKeeper::handleTicket(const WantedOrder &wanted, const std::optional<Millis> &retryAfter)
+void OrderManager::handleTicket(const OrderRequest &wanted, const std::optional<Millis> &retryAfter)
 {
     ticketRequested_ = false;
     if (retryAfter) {
@@ -121,7 +121,7 @@
         return;
     }
     queuedLoads_.erase(std::remove_if(queuedLoads_.begin(), queuedLoads_.end(),
-                                      [&](const WantedOrder &other) {
+                                      [&](const OrderRequest &other) {
                                           return other.engine == wanted.engine
                                               && other.target == wanted.target;
                                       }),
@@ -129,14 +129,14 @@
     controllers_.at(wanted.engine)->request(wanted.kind, wanted.target, nullptr);
 }
 
-bool OrderKeeper::isIdle(const UpstreamId &engine) const
+bool OrderManager::isIdle(const UpstreamId &engine) const
 {
     const auto controller = controllers_.find(engine);
     return controller != controllers_.end()
-        && controller->second->stage() == EngineOrderTrack::Stage::Idle;
+        && controller->second->stage() == EngineOrderController::Stage::Idle;
 }
 
-std::optional<OrderRecord> OrderKeeper::lastSettled(const UpstreamId &engine) const
+std::optional<OrderRecord> OrderManager::lastSettled(const UpstreamId &engine) const
 {
     const auto controller = controllers_.find(engine);
     if (controller == controllers_.end())
@@ -144,13 +144,13 @@
     return controller->second->lastSettled();
 }
 
-bool OrderKeeper::isQuiet() const
+bool OrderManager::isQuiet() const
 {
     return std::none_of(controllers_.begin(), controllers_.end(),
                         [](const auto &entry) { return entry.second->outstanding().has_value(); });
 }
 
-std::vector<OrderKeeper::View> OrderKeeper::view() const
+std::vector<OrderManager::View> OrderManager::view() const
 {
     std::vector<View> views;
     for (const auto &[id, controller] : controllers_)
--- a/modules/orders/keeper/OrderKeeper.h
+++ b/modules/orders/manager/OrderManager.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "orders/track/EngineOrderTrack.h"
+#include "orders/controller/EngineOrderController.h"
 
 #include <functional>
 #include <map>
@@ -12,7 +12,7 @@
 namespace cuminrail {
 
 /** A requested order. */
-struct WantedOrder
+struct OrderRequest
 {
     UpstreamId engine;
     EngineOrderKind kind = EngineOrderKind::ChangeRole;
@@ -30,19 +30,19 @@
 
     @see EngineOrderController, docs/ORDERS.md
 */
-class OrderKeeper
+class OrderManager
 {
 public:
     /**
         Requests the ticket for one load at a time; the completion gets nothing for "proceed", or
         the delay before the next request.
     */
-    using WeightTicket = std::function<void(const WantedOrder &,
+    using WeightTicket = std::function<void(const OrderRequest &,
                                             std::function<void(const std::optional<Millis> &)>)>;
 
     struct Hooks
     {
-        EngineOrderTrack::Hooks controller;
+        EngineOrderController::Hooks controller;
         /** May be null if no weight store is shared. */
         WeightTicket weightTicket;
     };
@@ -51,13 +51,13 @@
     struct View
     {
         UpstreamId engine;
-        EngineOrderTrack::Stage stage = EngineOrderTrack::Stage::Off;
+        EngineOrderController::Stage stage = EngineOrderController::Stage::Off;
         std::optional<OrderRecord> outstanding;
     };
 
-    OrderKeeper(const OrderTiming &timing, Hooks hooks);
-    OrderKeeper(const OrderKeeper &) = delete;
-    OrderKeeper &operator=(const OrderKeeper &) = delete;
+    OrderManager(const OrderTiming &timing, Hooks hooks);
+    OrderManager(const OrderManager &) = delete;
+    OrderManager &operator=(const OrderManager &) = delete;
 
     /** Sets the engines that belong to the duty. */
     void setEngines(const std::vector<OrderedEngine> &engines);
@@ -69,7 +69,7 @@
     void tick();
 
     /** Issues an order or queues a load. Returns false, with a reason, when it cannot. */
-    bool request(const WantedOrder &wanted, Reason *lastReason);
+    bool request(const OrderRequest &wanted, Reason *lastReason);
     /** Returns whether the engine could be given an order now. */
     bool isIdle(const UpstreamId &engine) const;
     /** Returns the last settled order of the engine if none is outstanding. */
@@ -77,16 +77,16 @@
     /** Returns whether no order is recorded as intended and unsettled. */
     bool isQuiet() const;
     std::vector<View> view() const;
-    const std::vector<WantedOrder> &waitingLoads() const { return queuedLoads_; }
+    const std::vector<OrderRequest> &waitingLoads() const { return queuedLoads_; }
 
 private:
     void startNextLoad();
-    void handleTicket(const WantedOrder &wanted, const std::optional<Millis> &retryAfter);
+    void handleTicket(const OrderRequest &wanted, const std::optional<Millis> &retryAfter);
 
     OrderTiming timing_;
     Hooks hooks_;
-    std::map<UpstreamId, std::unique_ptr<EngineOrderTrack>> controllers_;
-    std::vector<WantedOrder> queuedLoads_;
+    std::map<UpstreamId, std::unique_ptr<EngineOrderController>> controllers_;
+    std::vector<OrderRequest> queuedLoads_;
     bool isActive_ = false;
     bool ticketRequested_ = false;
     std::uint64_t epoch_ = 0;
--- a/modules/orders/keeper/OrderKeeper_test.cpp
+++ b/modules/orders/manager/OrderManager_test.cpp
@@ -18,7 +18,7 @@
 {
     FakeProcessPtr process;
     Authority lease;
-    std::unique_ptr<OrderKeeper> manager;
+    std::unique_ptr<OrderManager> manager;
 };
 
 class OrderTestBed
@@ -40,26 +40,26 @@
         Holder &holder = *holders.back();
         holder.process = std::make_shared<FakeProcess>(name);
         holder.lease = Authority{fence, scheduler.now() + leaseLength};
-        EngineOrderTrack::Hooks controller{store.port(holder.process),
-                                           engines.port(holder.process),
-                                           scheduler.clock(),
-                                           scheduler.random(),
-                                           ignoreEvents(),
-                                           [this, &holder]() -> std::optional<Authority> {
-                                               if (scheduler.now() >= holder.lease.notAfter)
-                                                   return std::nullopt;
-                                               return holder.lease;
-                                           },
-                                           {},
-                                           name};
-        OrderKeeper::WeightTicket ticket =
-            [this](const WantedOrder &wanted,
+        EngineOrderController::Hooks controller{store.port(holder.process),
+                                                engines.port(holder.process),
+                                                scheduler.clock(),
+                                                scheduler.random(),
+                                                ignoreEvents(),
+                                                [this, &holder]() -> std::optional<Authority> {
+                                                    if (scheduler.now() >= holder.lease.notAfter)
+                                                        return std::nullopt;
+                                                    return holder.lease;
+                                                },
+                                                {},
+                                                name};
+        OrderManager::WeightTicket ticket =
+            [this](const OrderRequest &wanted,
                    const std::function<void(const std::optional<Millis> &)> &done) {
                 ticketOrder.push_back(wanted.target);
                 scheduler.after(Millis(10), [this, done] { done(ticketRetryAfter); });
             };
-        holder.manager = std::make_unique<OrderKeeper>(
-            OrderTiming{}, OrderKeeper::Hooks{std::move(controller), std::move(ticket)});
+        holder.manager = std::make_unique<OrderManager>(
+            OrderTiming{}, OrderManager::Hooks{std::move(controller), std::move(ticket)});
         holder.manager->setEngines({{engineId, engine().checksFence}});
         holder.manager->onLeaseAcquired();
         return holder;
@@ -240,7 +240,7 @@
     });
     REQUIRE(bed.orderWithRetry(holder, "decode", Millis::seconds(2)));
     bed.run(Millis::seconds(6));
-    CHECK(holder.manager->view().front().stage == EngineOrderTrack::Stage::InDoubt);
+    CHECK(holder.manager->view().front().stage == EngineOrderController::Stage::InDoubt);
     CHECK(!bed.order(holder, "prefill"));
     bed.run(Millis::seconds(5));
     CHECK(holder.manager->isIdle(engineId));
--- a/modules/orders/orders.h
+++ b/modules/orders/orders.h
@@ -12,6 +12,6 @@
     Depends on: core, ports, lease, nlohmann-json.
 */
 
-#include "orders/keeper/OrderKeeper.h"
+#include "orders/controller/EngineOrderController.h"
+#include "orders/manager/OrderManager.h"
 #include "orders/record/OrderRecord.h"
-#include "orders/track/EngineOrderTrack.h"
--- a/modules/scenario/judge/BilledUse.cpp
+++ b/modules/scenario/judge/BilledUse.cpp
@@ -19,10 +19,10 @@
         const auto json = nlohmann::json::parse(figures);
         for (const auto &[customer, used] : json.at("customers").items())
             billed[CustomerId(customer)] +=
-                UsageFigures{used.at("prompt_tokens").get<std::uint64_t>(),
-                             used.at("output_tokens").get<std::uint64_t>(),
-                             used.at("requests").get<std::uint64_t>(),
-                             used.at("reclaimable_tokens").get<std::uint64_t>()};
+                UsageCounters{used.at("prompt_tokens").get<std::uint64_t>(),
+                              used.at("output_tokens").get<std::uint64_t>(),
+                              used.at("requests").get<std::uint64_t>(),
+                              used.at("reclaimable_tokens").get<std::uint64_t>()};
     }
     return billed;
 }
--- a/modules/scenario/judge/BilledUse.h
+++ b/modules/scenario/judge/BilledUse.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "ports/testing/FakeUsageReceiver.h"
-#include "usage/figures/UsageFigures.h"
+#include "usage/counters/UsageCounters.h"
 
 namespace cuminrail {
 
--- a/modules/scenario/judge/Judge.cpp
+++ b/modules/scenario/judge/Judge.cpp
@@ -99,7 +99,7 @@
     for (const CountedUse &use : world.countedUse())
         used[use.customer] += use.figures;
     for (const auto &[customer, billed] : billedUse(world.usage)) {
-        const UsageFigures more = billed.beyond(usageOf(used, customer));
+        const UsageCounters more = billed.increaseSince(usageOf(used, customer));
         if (!more.isZero())
             report(customer.text() + " was billed " + std::to_string(more.promptTokens)
                    + " prompt tokens more than it used");
--- a/modules/scenario/language/ScenarioParser.cpp
+++ b/modules/scenario/language/ScenarioParser.cpp
@@ -198,7 +198,7 @@
 
 std::function<void(ScenarioWorld &)> ScenarioParser::orderAction(StatementReader &words)
 {
-    WantedOrder order;
+    OrderRequest order;
     order.engine = engineName(words);
     const std::string kind = words.word("the order's kind");
     const auto known = engineOrderKindNames.value(kind);
--- a/modules/scenario/world/ScenarioCalls.cpp
+++ b/modules/scenario/world/ScenarioCalls.cpp
@@ -7,9 +7,9 @@
 constexpr Millis claimDeadline = Millis::seconds(5);
 constexpr Millis callDeadline = Millis::seconds(10);
 
-ClaimKeeper::Config claimConfig(const InstanceLife &self)
+ClaimManager::Config claimConfig(const InstanceIncarnation &self)
 {
-    ClaimKeeper::Config config;
+    ClaimManager::Config config;
     config.instance = self.instance;
     config.incarnation = self.incarnation;
     return config;
@@ -17,7 +17,7 @@
 
 } // namespace
 
-ScenarioCalls::ScenarioCalls(const InstanceLife &self, Hooks hooks)
+ScenarioCalls::ScenarioCalls(const InstanceIncarnation &self, Hooks hooks)
     : hooks_(std::move(hooks)),
       claims_(claimConfig(self), hooks_.store, hooks_.random, ignoreEvents(), hooks_.isGone)
 { }
@@ -52,7 +52,7 @@
         return;
     case ClaimDecision::Replay:
     case ClaimDecision::RanUnstored:
-        answer(running, Verdict::Ran, result.answer.body);
+        answer(running, Verdict::Ran, result.response.body);
         return;
     case ClaimDecision::InProgress:
     case ClaimDecision::MayHaveRun:
@@ -90,8 +90,8 @@
     if (!running.claim.empty()) {
         ClaimOutcome outcome;
         outcome.verdict = reply.verdict;
-        outcome.answer.status = 200;
-        outcome.answer.body = reply.body;
+        outcome.response.status = 200;
+        outcome.response.body = reply.body;
         claims_.finish(running.claim, outcome);
     }
     answer(running, reply.verdict, reply.body);
--- a/modules/scenario/world/ScenarioCalls.h
+++ b/modules/scenario/world/ScenarioCalls.h
@@ -1,8 +1,8 @@
 #pragma once
 
-#include "dispatch/claims/ClaimKeeper.h"
+#include "dispatch/claims/ClaimManager.h"
 #include "dispatch/retry/RetryPolicy.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 #include "ports/testing/testing.h"
 
 #include <functional>
@@ -41,14 +41,14 @@
         ObjectStore store;
         RandomHook random;
         Clock clock;
-        ClaimKeeper::GoneHook isGone;
+        ClaimManager::IncarnationEndedHook isGone;
         /** Sends to the service. */
         std::function<void(const ServiceRun &, std::function<void(const ServiceReply &)>)> send;
         /** Answers the caller. */
         std::function<void(const CallerAnswer &)> answer;
     };
 
-    ScenarioCalls(const InstanceLife &self, Hooks hooks);
+    ScenarioCalls(const InstanceIncarnation &self, Hooks hooks);
     ScenarioCalls(const ScenarioCalls &) = delete;
     ScenarioCalls &operator=(const ScenarioCalls &) = delete;
 
@@ -71,7 +71,7 @@
     void answer(const Running &running, Verdict verdict, const std::string &body);
 
     Hooks hooks_;
-    ClaimKeeper claims_;
+    ClaimManager claims_;
     RetryBudget budget_;
     std::size_t inProgress_ = 0;
 };
--- a/modules/scenario/world/ScenarioInstance.cpp
+++ b/modules/scenario/world/ScenarioInstance.cpp
@@ -35,35 +35,37 @@
 
 void ScenarioInstance::buildLeases()
 {
-    LeaseKeeper::Hooks hooks{world_.store.port(process_),
-                             clock(),
-                             world_.scheduler.random(),
-                             ignoreEvents(),
-                             {},
-                             {},
-                             {},
-                             {}};
+    LeaseManager::Hooks hooks{world_.store.port(process_),
+                              clock(),
+                              world_.scheduler.random(),
+                              ignoreEvents(),
+                              {},
+                              {},
+                              {},
+                              {}};
     hooks.duties = [this] { return world_.duties(); };
     hooks.liveMembers = [this] { return world_.liveMembers(); };
-    hooks.onTaken = [this](const std::string &duty, const Authority &) { changeDuty(duty, true); };
-    hooks.onLost = [this](const std::string &duty) { changeDuty(duty, false); };
-    leases_ = std::make_unique<LeaseKeeper>(life_, LeaseTiming{}, std::move(hooks));
+    hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) {
+        changeDuty(duty, true);
+    };
+    hooks.onLeaseLost = [this](const std::string &duty) { changeDuty(duty, false); };
+    leases_ = std::make_unique<LeaseManager>(life_, LeaseTiming{}, std::move(hooks));
 }
 
 void ScenarioInstance::buildOrders()
 {
     for (const auto &[domain, engines] : world_.enginesByDomain()) {
-        EngineOrderTrack::Hooks track{world_.store.port(process_),
-                                      world_.enginePort(*this),
-                                      clock(),
-                                      world_.scheduler.random(),
-                                      ignoreEvents(),
-                                      {},
-                                      {},
-                                      name()};
+        EngineOrderController::Hooks track{world_.store.port(process_),
+                                           world_.enginePort(*this),
+                                           clock(),
+                                           world_.scheduler.random(),
+                                           ignoreEvents(),
+                                           {},
+                                           {},
+                                           name()};
         track.authority = authorityFor(ScenarioWorld::domainDuty(domain));
-        auto keeper =
-            std::make_unique<OrderKeeper>(OrderTiming{}, OrderKeeper::Hooks{std::move(track), {}});
+        auto keeper = std::make_unique<OrderManager>(OrderTiming{},
+                                                     OrderManager::Hooks{std::move(track), {}});
         keeper->setEngines(engines);
         orders_[domain] = std::move(keeper);
     }
@@ -85,11 +87,11 @@
         UsageFlusher::Hooks flush{
             world_.store.port(process_), clock(), world_.scheduler.random(), {}, {}};
         flush.currentWindow = [this] { return world_.currentWindow(); };
-        flush.period = [] { return shortestFlushPeriod / 2; };
+        flush.flushInterval = [] { return minFlushInterval / 2; };
         flushers_[team] = std::make_unique<UsageFlusher>(team, life_, std::move(flush));
         UsageTiming timing;
         timing.windowLength = world_.windowLength;
-        timing.grace = shortestFlushPeriod / 2;
+        timing.grace = minFlushInterval / 2;
         UsageReporter::Hooks hooks{world_.store.port(process_),
                                    world_.usagePort(*this),
                                    clock(),
--- a/modules/scenario/world/ScenarioInstance.h
+++ b/modules/scenario/world/ScenarioInstance.h
@@ -45,7 +45,7 @@
     std::string lifeName() const;
     bool isStopping() const { return stopping_; }
     ScenarioCalls &calls() { return *calls_; }
-    LeaseKeeper &leases() { return *leases_; }
+    LeaseManager &leases() { return *leases_; }
     UsageFlusher &usage(const TeamId &team) { return *flushers_.at(team); }
 
 private:
@@ -61,12 +61,12 @@
     void pursueTargets();
 
     ScenarioWorld &world_;
-    InstanceLife life_;
+    InstanceIncarnation life_;
     FailureDomainId domain_;
     Millis clockOffset_;
     FakeProcessPtr process_;
-    std::unique_ptr<LeaseKeeper> leases_;
-    std::map<FailureDomainId, std::unique_ptr<OrderKeeper>> orders_;
+    std::unique_ptr<LeaseManager> leases_;
+    std::map<FailureDomainId, std::unique_ptr<OrderManager>> orders_;
     std::map<Zone, std::unique_ptr<FleetManager>> zones_;
     std::unique_ptr<ScenarioCalls> calls_;
     std::map<TeamId, std::unique_ptr<UsageFlusher>> flushers_;
--- a/modules/scenario/world/ScenarioWorld.h
+++ b/modules/scenario/world/ScenarioWorld.h
@@ -18,7 +18,7 @@
     std::string instance;
     TeamId team;
     CustomerId customer;
-    UsageFigures figures;
+    UsageCounters figures;
 };
 
 /**
@@ -65,7 +65,7 @@
     const std::vector<Zone> &zones() const { return zones_; }
     const std::map<Zone, std::uint32_t> &wantedTargets() const { return targets_; }
     const std::vector<TeamId> &teams() const { return teams_; }
-    const std::map<UpstreamId, WantedOrder> &wishes() const { return wishes_; }
+    const std::map<UpstreamId, OrderRequest> &wishes() const { return wishes_; }
     /** The ports compare notAfter with the clock of the instance that uses them. */
     EngineControl enginePort(const ScenarioInstance &instance);
     FleetOrdering fleetPort(const ScenarioInstance &instance);
@@ -79,7 +79,7 @@
     // Acting and breaking
     ScenarioInstance *instance(const std::string &name);
     bool hasInstance(const std::string &name) const { return domains_.count(name) != 0; }
-    void wish(const WantedOrder &order) { wishes_[order.engine] = order; }
+    void wish(const OrderRequest &order) { wishes_[order.engine] = order; }
     void want(const Zone &zone, std::uint32_t count) { targets_[zone] = count; }
     void count(const CountedUse &use);
     /** A caller asks something of an instance. */
@@ -127,7 +127,7 @@
     std::vector<Zone> zones_;
     std::map<Zone, std::uint32_t> targets_;
     std::vector<TeamId> teams_;
-    std::map<UpstreamId, WantedOrder> wishes_;
+    std::map<UpstreamId, OrderRequest> wishes_;
     std::vector<CountedUse> counted_;
     std::vector<LossRule> losses_;
     std::map<std::string, Millis> silentSince_;
--- a/modules/usage/figures/UsageFigures.h
+++ b/modules/usage/counters/UsageCounters.h
@@ -9,7 +9,7 @@
 namespace cuminrail {
 
 /** The usage of a customer: either cumulative or of one window. */
-struct UsageFigures
+struct UsageCounters
 {
     std::uint64_t promptTokens = 0;
     std::uint64_t outputTokens = 0;
@@ -17,7 +17,7 @@
     /** The part of the tokens that was processed by reclaimable upstreams. */
     std::uint64_t reclaimableTokens = 0;
 
-    UsageFigures &operator+=(const UsageFigures &other)
+    UsageCounters &operator+=(const UsageCounters &other)
     {
         promptTokens += other.promptTokens;
         outputTokens += other.outputTokens;
@@ -27,7 +27,7 @@
     }
 
     /** Returns the increase since an earlier state; never less than zero. */
-    UsageFigures beyond(const UsageFigures &earlier) const
+    UsageCounters increaseSince(const UsageCounters &earlier) const
     {
         const auto more = [](std::uint64_t now, std::uint64_t before) {
             return now > before ? now - before : 0;
@@ -38,7 +38,7 @@
     }
 
     /** Returns the maximum of both for each count. */
-    UsageFigures maximumOf(const UsageFigures &other) const
+    UsageCounters maximumOf(const UsageCounters &other) const
     {
         return {std::max(promptTokens, other.promptTokens),
                 std::max(outputTokens, other.outputTokens), std::max(requests, other.requests),
@@ -50,14 +50,14 @@
         return promptTokens == 0 && outputTokens == 0 && requests == 0 && reclaimableTokens == 0;
     }
 
-    bool operator==(const UsageFigures &other) const
+    bool operator==(const UsageCounters &other) const
     {
         return promptTokens == other.promptTokens && outputTokens == other.outputTokens
             && requests == other.requests && reclaimableTokens == other.reclaimableTokens;
     }
 };
 
-using CustomerUsage = std::map<CustomerId, UsageFigures>;
+using CustomerUsage = std::map<CustomerId, UsageCounters>;
 
 /** Adds each customer's counters. */
 inline void addUsage(CustomerUsage &sum, const CustomerUsage &more)
@@ -67,10 +67,10 @@
 }
 
 /** Returns the usage of a customer, or zeros. */
-inline UsageFigures usageOf(const CustomerUsage &usage, const CustomerId &customer)
+inline UsageCounters usageOf(const CustomerUsage &usage, const CustomerId &customer)
 {
     const auto found = usage.find(customer);
-    return found == usage.end() ? UsageFigures{} : found->second;
+    return found == usage.end() ? UsageCounters{} : found->second;
 }
 
 /** Returns the increase per customer since an earlier state, without zero entries. */
@@ -78,7 +78,7 @@
 {
     CustomerUsage more;
     for (const auto &[customer, counters] : now) {
-        const UsageFigures difference = counters.beyond(usageOf(earlier, customer));
+        const UsageCounters difference = counters.increaseSince(usageOf(earlier, customer));
         if (!difference.isZero())
             more[customer] = difference;
     }
--- a/modules/usage/figures/UsageWindows.cpp
+++ b/modules/usage/counters/UsageWindows.cpp
@@ -1,4 +1,4 @@
-#include "usage/figures/UsageWindows.h"
+#include "usage/counters/UsageWindows.h"
 
 #include <array>
 #include <cstdio>
--- a/modules/usage/flush/FlushPeriod.h
+++ b/modules/usage/flush/FlushInterval.h
@@ -11,18 +11,18 @@
 inline constexpr std::size_t maxUsageWritesPerSecond = 40;
 
 /** Minimum interval between two writes of one instance's counters for one team. */
-inline constexpr Millis shortestFlushPeriod = Millis::seconds(10);
+inline constexpr Millis minFlushInterval = Millis::seconds(10);
 
 /**
     Returns the interval at which an instance writes the counters of each team.
 
     It bounds the usage lost when an instance dies, so it is as short as the store permits.
 */
-inline Millis flushPeriod(std::size_t instances, std::size_t teams)
+inline Millis flushInterval(std::size_t instances, std::size_t teams)
 {
     const std::size_t objects = instances * teams;
     const auto interval = static_cast<std::int64_t>(objects * 1000 / maxUsageWritesPerSecond);
-    return std::max(shortestFlushPeriod, Millis(interval));
+    return std::max(minFlushInterval, Millis(interval));
 }
 
 } // namespace cuminrail
--- a/modules/usage/flush/UsageFlusher.cpp
+++ b/modules/usage/flush/UsageFlusher.cpp
@@ -6,11 +6,11 @@
 constexpr Millis retryDelay{1000};
 } // namespace
 
-UsageFlusher::UsageFlusher(TeamId team, InstanceLife self, Hooks hooks)
+UsageFlusher::UsageFlusher(TeamId team, InstanceIncarnation self, Hooks hooks)
     : team_(std::move(team)), self_(std::move(self)), hooks_(std::move(hooks))
 {
     record_.window = hooks_.currentWindow();
-    scheduleNext(hooks_.period());
+    scheduleNext(hooks_.flushInterval());
 }
 
 std::string UsageFlusher::path() const
@@ -31,7 +31,7 @@
     record_.window = current;
 }
 
-void UsageFlusher::add(const CustomerId &customer, const UsageFigures &counters)
+void UsageFlusher::add(const CustomerId &customer, const UsageCounters &counters)
 {
     enterWindow();
     record_.total[customer] += counters;
@@ -84,7 +84,7 @@
     if (reply.status == StoreStatus::Ok) {
         version_ = reply.version;
         dirty_ = changedSinceSend_;
-        scheduleNext(stopping_ ? Millis(0) : hooks_.period());
+        scheduleNext(stopping_ ? Millis(0) : hooks_.flushInterval());
         return;
     }
     readBackDue_ = reply.status != StoreStatus::Unavailable;
--- a/modules/usage/flush/UsageFlusher.h
+++ b/modules/usage/flush/UsageFlusher.h
@@ -3,7 +3,7 @@
 #include "core/ids/Ids.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 #include "ports/store/ObjectStore.h"
 #include "usage/record/CounterRecord.h"
 
@@ -30,15 +30,15 @@
         /** Returns the current window. */
         std::function<WindowIndex()> currentWindow;
         /** Returns the write interval; called again after each write. */
-        std::function<Millis()> period;
+        std::function<Millis()> flushInterval;
     };
 
-    UsageFlusher(TeamId team, InstanceLife self, Hooks hooks);
+    UsageFlusher(TeamId team, InstanceIncarnation self, Hooks hooks);
     UsageFlusher(const UsageFlusher &) = delete;
     UsageFlusher &operator=(const UsageFlusher &) = delete;
 
     /** Adds the usage of a request to the current window. */
-    void add(const CustomerId &customer, const UsageFigures &counters);
+    void add(const CustomerId &customer, const UsageCounters &counters);
     /** Performs due work. */
     void tick();
     /** Begins a planned stop: writes at once, and for the last time. */
@@ -61,7 +61,7 @@
     void scheduleNext(Millis span);
 
     TeamId team_;
-    InstanceLife self_;
+    InstanceIncarnation self_;
     Hooks hooks_;
     CounterRecord record_;
     CustomerUsage sending_;
--- a/modules/usage/record/SealedWindow.cpp
+++ b/modules/usage/record/SealedWindow.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Json countersToJson(const UsageFigures &figures)
+Json countersToJson(const UsageCounters &figures)
 {
     return Json{{"prompt_tokens", figures.promptTokens},
                 {"output_tokens", figures.outputTokens},
--- a/modules/usage/record/SealedWindow.h
+++ b/modules/usage/record/SealedWindow.h
@@ -1,8 +1,8 @@
 #pragma once
 
 #include "core/errors/Reason.h"
-#include "usage/figures/UsageFigures.h"
-#include "usage/figures/UsageWindows.h"
+#include "usage/counters/UsageCounters.h"
+#include "usage/counters/UsageWindows.h"
 
 #include <map>
 #include <optional>
--- a/modules/usage/record/UsageJson.h
+++ b/modules/usage/record/UsageJson.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "usage/figures/UsageFigures.h"
+#include "usage/counters/UsageCounters.h"
 
 #include <nlohmann/json.hpp>
 
--- a/modules/usage/seal/UsageReporter.cpp
+++ b/modules/usage/seal/UsageReporter.cpp
@@ -51,7 +51,7 @@
     return seals_.rbegin()->first;
 }
 
-std::size_t UsageReporter::unreported() const
+std::size_t UsageReporter::unreportedCount() const
 {
     return static_cast<std::size_t>(std::count_if(
         seals_.begin(), seals_.end(), [](const auto &s) { return !s.second.window.isReported; }));
@@ -72,8 +72,8 @@
 
 void UsageReporter::scheduleRetry()
 {
-    const auto width = static_cast<std::uint64_t>(timing_.retryEvery.count());
-    nextAt_ = hooks_.clock.now() + timing_.retryEvery
+    const auto width = static_cast<std::uint64_t>(timing_.retryInterval.count());
+    nextAt_ = hooks_.clock.now() + timing_.retryInterval
         + Millis(static_cast<std::int64_t>(hooks_.random() % width));
 }
 
@@ -336,7 +336,7 @@
         hooks_.store.remove(path, version, guardCompletion<StoreReply>(&UsageReporter::removed));
         return true;
     }
-    if (seals_.empty() || seals_.begin()->first + timing_.kept >= seals_.rbegin()->first)
+    if (seals_.empty() || seals_.begin()->first + timing_.retainedWindows >= seals_.rbegin()->first)
         return false;
     const auto oldest = seals_.begin();
     if (!oldest->second.window.isReported)
--- a/modules/usage/seal/UsageReporter.h
+++ b/modules/usage/seal/UsageReporter.h
@@ -3,7 +3,7 @@
 #include "core/events/Event.h"
 #include "core/random/Random.h"
 #include "core/time/Clock.h"
-#include "lease/keeper/DutyLease.h"
+#include "lease/manager/DutyLease.h"
 #include "ports/store/ObjectStore.h"
 #include "ports/usage/UsageReceiver.h"
 #include "usage/seal/UsageMerge.h"
@@ -24,11 +24,11 @@
         Delay between the end of a window and its seal, so that instances can write their counters.
     */
     Millis grace = Millis::seconds(15);
-    Millis retryEvery{1000};
+    Millis retryInterval{1000};
     /** Nothing is written or reported if less than this remains of the lease. */
     Millis sendMargin{1000};
     /** Number of sealed and reported windows that remain in the store. */
-    WindowIndex kept = 48;
+    WindowIndex retainedWindows = 48;
 };
 
 /**
@@ -73,7 +73,7 @@
     /** Returns the last window known to be sealed. */
     std::optional<WindowIndex> lastSealed() const;
     /** Returns the number of sealed windows that the platform has not confirmed. */
-    std::size_t unreported() const;
+    std::size_t unreportedCount() const;
 
     static std::string sealPrefix(const TeamId &team)
     {
--- a/modules/usage/seal/UsageReporter_test.cpp
+++ b/modules/usage/seal/UsageReporter_test.cpp
@@ -45,8 +45,8 @@
         UsageFlusher::Hooks flush{store.port(node.process), scheduler.clock(), scheduler.random(),
                                   [this] { return UsageWindows(window).indexAt(scheduler.now()); },
                                   [] { return Millis::seconds(10); }};
-        node.flusher = std::make_unique<UsageFlusher>(team, InstanceLife{InstanceId(name), 1},
-                                                      std::move(flush));
+        node.flusher = std::make_unique<UsageFlusher>(
+            team, InstanceIncarnation{InstanceId(name), 1}, std::move(flush));
         UsageTiming timing;
         timing.windowLength = window;
         UsageReporter::Hooks hooks{
@@ -88,7 +88,7 @@
 
     void addUsageAt(Node &node, std::uint64_t tokens)
     {
-        node.flusher->add(customer, UsageFigures{tokens, 0, 1, 0});
+        node.flusher->add(customer, UsageCounters{tokens, 0, 1, 0});
     }
 
     bool isLive(const std::string &incarnationName)
@@ -156,7 +156,7 @@
     CHECK(bed.billed("prompt_tokens") == 30 * 17);
     CHECK(bed.billed("requests") == 60);
     CHECK(!bed.hasConflictingFigures());
-    CHECK(a.reporter->unreported() == 0);
+    CHECK(a.reporter->unreportedCount() == 0);
 }
 
 // The platform's reply to a report is lost, and then the holder fails. The next holder sends the
@@ -336,6 +336,6 @@
 // Guards against writes that grow with instances and teams beyond what the store permits.
 TEST_CASE("the flush interval bounds the writes to the store for any number of instances")
 {
-    CHECK(flushPeriod(8, 3) == Millis::seconds(10));
-    CHECK(flushPeriod(370, 10) == Millis(92500));
+    CHECK(flushInterval(8, 3) == Millis::seconds(10));
+    CHECK(flushInterval(370, 10) == Millis(92500));
 }
--- a/modules/usage/usage.h
+++ b/modules/usage/usage.h
@@ -13,9 +13,9 @@
     Depends on: core, ports, lease, nlohmann-json.
 */
 
-#include "usage/figures/UsageFigures.h"
-#include "usage/figures/UsageWindows.h"
-#include "usage/flush/FlushPeriod.h"
+#include "usage/counters/UsageCounters.h"
+#include "usage/counters/UsageWindows.h"
+#include "usage/flush/FlushInterval.h"
 #include "usage/flush/UsageFlusher.h"
 #include "usage/record/CounterRecord.h"
 #include "usage/record/SealedWindow.h"
