--- a/modules/admission/AdmissionController_test.cpp
+++ b/modules/admission/AdmissionController_test.cpp
@@ -23,7 +23,7 @@
     {
         settings.pools.resize(1);
         for (std::size_t i = 0; i < customers; ++i) {
-            AdmittedCustomer customer;
+            AdmissionCustomer customer;
             customer.id = CustomerId("c" + std::to_string(i));
             customer.present = true;
             settings.customers.push_back(customer);
--- a/modules/admission/AdmissionTypes.h
+++ b/modules/admission/AdmissionTypes.h
@@ -79,7 +79,7 @@
 };
 
 /** Admission settings of one customer. */
-struct AdmittedCustomer
+struct AdmissionCustomer
 {
     CustomerId id;
     double weight = 1;
@@ -100,7 +100,7 @@
 /** The settings that admission depends on, indexed by CustomerIndex and PoolIndex. */
 struct AdmissionSettings
 {
-    std::vector<AdmittedCustomer> customers;
+    std::vector<AdmissionCustomer> customers;
     std::vector<AdmissionPool> pools;
 };
 
--- a/modules/admission/budget/BudgetLedger.cpp
+++ b/modules/admission/budget/BudgetLedger.cpp
@@ -78,7 +78,7 @@
     members_.emplace(self_, Millis::never());
 }
 
-void BudgetLedger::setCustomers(const std::vector<AdmittedCustomer> &customers, Millis now)
+void BudgetLedger::setCustomers(const std::vector<AdmissionCustomer> &customers, Millis now)
 {
     rows_.resize(std::max(rows_.size(), customers.size()));
     indexes_.clear();
--- a/modules/admission/budget/BudgetLedger.h
+++ b/modules/admission/budget/BudgetLedger.h
@@ -74,7 +74,7 @@
                  RandomHook random);
 
     /** Sets the customers from new settings, by CustomerIndex. */
-    void setCustomers(const std::vector<AdmittedCustomer> &customers, Millis now);
+    void setCustomers(const std::vector<AdmissionCustomer> &customers, Millis now);
 
     /** Sets the live instances; this one always counts as live. */
     void setMembers(const std::vector<InstanceId> &members, Millis now);
@@ -94,7 +94,7 @@
 private:
     struct Row
     {
-        AdmittedCustomer customer;
+        AdmissionCustomer customer;
         /** This instance's part of each limit, not counting loans. */
         std::array<double, 3> baseShares{};
         /** Sums of the loans lent and borrowed. */
--- a/modules/admission/budget/BudgetLedger_test.cpp
+++ b/modules/admission/budget/BudgetLedger_test.cpp
@@ -38,7 +38,7 @@
 
     Group(std::size_t count, const CustomerLimits &limits)
     {
-        AdmittedCustomer customer;
+        AdmissionCustomer customer;
         customer.id = CustomerId("one");
         customer.limits = limits;
         customer.present = true;
@@ -282,7 +282,7 @@
     REQUIRE(group.instances[1]->share.concurrentRequests > 20);
     group.startLedger(1, 2);
     group.instances[1]->ledger->setMembers(group.ids, group.now);
-    AdmittedCustomer customer;
+    AdmissionCustomer customer;
     customer.id = CustomerId("one");
     customer.limits.concurrentRequests = 30;
     customer.present = true;
--- a/modules/admission/detail/AdmissionState.cpp
+++ b/modules/admission/detail/AdmissionState.cpp
@@ -249,7 +249,7 @@
     Flow &flow = flows_[entry.flow];
     Pool &poolState = pool(flow.pool);
     Customer &customerState = customer(flow.customer);
-    const auto limit = customerState.limiter.heldBackBy(now);
+    const auto limit = customerState.limiter.exceededLimit(now);
     const double expected = entry.expectedOutputTokens;
 
     if (!limit && flow.waiting.empty() && poolState.fair.activeCount() == 0
@@ -373,7 +373,7 @@
 void AdmissionState::retryDeferred(CustomerIndex index, AdmissionChanges &changes, Millis now)
 {
     Customer &customerState = customer(index);
-    if (customerState.deferredFlows.empty() || customerState.limiter.heldBackBy(now))
+    if (customerState.deferredFlows.empty() || customerState.limiter.exceededLimit(now))
         return;
     std::vector<std::uint32_t> flows;
     flows.swap(customerState.deferredFlows);
@@ -404,7 +404,7 @@
             poolState.window.recordFullWindow();
             return;
         }
-        if (const auto limit = customer(flows_[flowIndex].customer).limiter.heldBackBy(now)) {
+        if (const auto limit = customer(flows_[flowIndex].customer).limiter.exceededLimit(now)) {
             deferFlow(flowIndex, *limit, now);
             continue;
         }
--- a/modules/admission/limits/AdmissionSettingsBuilder.cpp
+++ b/modules/admission/limits/AdmissionSettingsBuilder.cpp
@@ -23,7 +23,7 @@
     AdmissionSettings built;
     for (const TeamSettings &team : settings.teams) {
         for (const CustomerSettings &customer : team.customers) {
-            AdmittedCustomer &row = rowAt(built.customers, customers.indexOf(customer.id));
+            AdmissionCustomer &row = rowAt(built.customers, customers.indexOf(customer.id));
             row.id = customer.id;
             row.weight = customer.weight;
             row.limits = customer.limits;
--- a/modules/admission/limits/CustomerLimiter.cpp
+++ b/modules/admission/limits/CustomerLimiter.cpp
@@ -37,7 +37,7 @@
     tokens_.configure(share_.tokensPerSecond, share_.tokensPerSecond * seconds, now);
 }
 
-std::optional<RefusalCode> CustomerLimiter::heldBackBy(Millis now)
+std::optional<RefusalCode> CustomerLimiter::exceededLimit(Millis now)
 {
     if (customerLimits_.concurrentRequests > 0 && running_ + 1 > share_.concurrentRequests)
         return RefusalCode::ConcurrencyLimited;
--- a/modules/admission/limits/CustomerLimiter.h
+++ b/modules/admission/limits/CustomerLimiter.h
@@ -27,7 +27,7 @@
     void setShare(const LocalShare &share, Millis now);
 
     /** Returns the limit that another request would exceed now, or nothing. */
-    std::optional<RefusalCode> heldBackBy(Millis now);
+    std::optional<RefusalCode> exceededLimit(Millis now);
 
     /** Counts a request that starts. */
     void started(double tokens);
--- a/modules/engineview/EngineView.cpp
+++ b/modules/engineview/EngineView.cpp
@@ -240,7 +240,8 @@
         const UpstreamIndex upstream = index(engine.id);
         if (report == nullptr || upstream == noIndex)
             continue;
-        loads.report(upstream, {report->running, report->waiting, 0}, now - report->sampledAt, now);
+        loads.applyReport(upstream, {report->running, report->waiting, 0}, now - report->sampledAt,
+                          now);
     }
 }
 
--- a/modules/instance/admin/StatePage.cpp
+++ b/modules/instance/admin/StatePage.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-nlohmann::json upstreamState(const RoutedUpstream &upstream, const UpstreamLive &live, Millis now)
+nlohmann::json upstreamState(const RoutedUpstream &upstream, const UpstreamLoad &live, Millis now)
 {
     nlohmann::json state;
     state["id"] = upstream.id.text();
--- a/modules/instance/control/ControlPlane.cpp
+++ b/modules/instance/control/ControlPlane.cpp
@@ -135,7 +135,7 @@
         republish();
 }
 
-void ControlPlane::publishFacts(LiveFacts facts)
+void ControlPlane::publishFacts(FleetState facts)
 {
     builder_.setFacts(std::move(facts));
     if (hasSettings_)
--- a/modules/instance/control/ControlPlane.h
+++ b/modules/instance/control/ControlPlane.h
@@ -58,7 +58,7 @@
     /** Puts a checked settings tree in force on all request threads. */
     void publish(Settings settings);
     /** Puts new knowledge of engines and leaving upstreams in force. */
-    void publishFacts(LiveFacts facts);
+    void publishFacts(FleetState facts);
     /** Makes withdrawn keys stop working ahead of the settings that say so. */
     void publishWithdrawn(std::set<KeyHash> keys);
     /** Sets among how many instances the upstreams' capacity is divided. */
--- a/modules/instance/request/RequestPlan.cpp
+++ b/modules/instance/request/RequestPlan.cpp
@@ -142,7 +142,7 @@
                       "this call may not be repeated; give it an Idempotency-Key",
                       "Idempotency-Key");
     plan.upstreamTarget = "/";
-    plan.upstreamTarget += route->pathBelow;
+    plan.upstreamTarget += route->subPath;
     plan.upstreamTarget += head.target.substr(head.path().size());
     return plan;
 }
--- a/modules/instance/services/EngineService.cpp
+++ b/modules/instance/services/EngineService.cpp
@@ -79,7 +79,7 @@
         return;
     leavingChanged_ = false;
     publishedFacts_ = view_.table().factsRevision();
-    LiveFacts facts;
+    FleetState facts;
     facts.leaving = leaving_;
     for (const EngineState *state : view_.table().knownFacts())
         facts.engines[state->engine] = {state->incarnation, state->role, state->models,
--- a/modules/instance/serving/ServingContext.h
+++ b/modules/instance/serving/ServingContext.h
@@ -29,7 +29,7 @@
     LiveLoads loads;
     PrefixHints hints;
     /** Instances that sample alike would send to the same upstreams at the same moment. */
-    Router router{loads, hints, RouterOptions(), customerSeed(config.instanceId.text())};
+    Router router{loads, hints, RouterOptions(), nameHash(config.instanceId.text())};
     RetryBudget retryBudget;
     /** Set before the threads start, never after. */
     ClaimHooks claims;
--- a/modules/instance/serving/SnapshotBuilder.h
+++ b/modules/instance/serving/SnapshotBuilder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "instance/serving/ServingSnapshot.h"
-#include "routing/table/LiveFacts.h"
+#include "routing/table/FleetState.h"
 #include "routing/table/StableIndexes.h"
 
 #include <memory>
@@ -20,7 +20,7 @@
     explicit SnapshotBuilder(FailureDomainId ownDomain);
 
     void setSettings(Settings settings) { settings_ = std::move(settings); }
-    void setFacts(LiveFacts facts) { facts_ = std::move(facts); }
+    void setFacts(FleetState facts) { facts_ = std::move(facts); }
     /** Keys that other instances reported withdrawn ahead of the settings. */
     void setWithdrawnAhead(std::set<KeyHash> keys) { withdrawnAhead_ = std::move(keys); }
 
@@ -32,7 +32,7 @@
 private:
     FailureDomainId ownDomain_;
     Settings settings_;
-    LiveFacts facts_;
+    FleetState facts_;
     std::set<KeyHash> withdrawnAhead_;
     StableIndexes indexes_;
     std::uint64_t generation_ = 0;
--- a/modules/policybench/policy/BaselinePolicy.cpp
+++ b/modules/policybench/policy/BaselinePolicy.cpp
@@ -52,7 +52,7 @@
     AdmissionDecision decision;
     decision.expectedOutputTokens = static_cast<std::uint32_t>(expectedOutput);
     CustomerLimiter &limiter = (*setup_.sharedLimiters)[request.customer];
-    if (const auto limit = limiter.heldBackBy(now)) {
+    if (const auto limit = limiter.exceededLimit(now)) {
         decision.code = *limit;
         return decision;
     }
--- a/modules/policybench/policy/InstancePolicy.cpp
+++ b/modules/policybench/policy/InstancePolicy.cpp
@@ -18,7 +18,7 @@
 
 InstancePolicy::InstancePolicy(PolicySetup setup)
     : setup_(std::move(setup)), loads_(upstreamCapacity, teamCapacity), hints_(hintEntries),
-      router_(loads_, hints_, {}, customerSeed("instance " + std::to_string(setup_.instance)))
+      router_(loads_, hints_, {}, nameHash("instance " + std::to_string(setup_.instance)))
 { }
 
 void InstancePolicy::cacheEvents(UpstreamIndex upstream, const std::vector<CacheEvent> &events,
@@ -26,7 +26,7 @@
 {
     for (const CacheEvent &event : events) {
         if (!cursors_[upstream].accept(event.number))
-            hints_.forgetUpstream(upstream);
+            hints_.removeUpstream(upstream);
         if (event.stored)
             hints_.stored(event.hash, upstream, now);
         else
--- a/modules/policybench/score/Score.cpp
+++ b/modules/policybench/score/Score.cpp
@@ -56,7 +56,7 @@
     std::vector<double> allowed(customers.size(), 0);
     for (const WorkloadRequest &request : workload.requests) {
         CustomerLimiter &limiter = limiters[request.customer];
-        if (limiter.heldBackBy(Millis(static_cast<std::int64_t>(request.arrival))))
+        if (limiter.exceededLimit(Millis(static_cast<std::int64_t>(request.arrival))))
             continue;
         limiter.started(request.promptTokens + request.outputTokens);
         allowed[request.customer] += 1;
--- a/modules/policybench/simulation/Simulation.cpp
+++ b/modules/policybench/simulation/Simulation.cpp
@@ -61,7 +61,7 @@
 {
     admissionSettings_ =
         buildAdmissionSettings(workload_.settings, indexes_.customers, indexes_.pools);
-    for (const AdmittedCustomer &customer : admissionSettings_.customers) {
+    for (const AdmissionCustomer &customer : admissionSettings_.customers) {
         sharedLimiters_.emplace_back();
         sharedLimiters_.back().configure(customer.limits, Millis::seconds(2), Millis());
     }
@@ -168,7 +168,7 @@
         queue_.after(workload_.reportLag, [this, engine, report, events] {
             const Millis age(static_cast<std::int64_t>(workload_.reportLag));
             for (auto &instance : instances_) {
-                instance->router().loads().report(engine, report, age, now());
+                instance->router().loads().applyReport(engine, report, age, now());
                 instance->cacheEvents(engine, events, now());
             }
         });
--- a/modules/policybench/simulation/Simulation.h
+++ b/modules/policybench/simulation/Simulation.h
@@ -72,7 +72,7 @@
     const Workload &workload_;
     EventQueue queue_;
     StableIndexes indexes_;
-    LiveFacts facts_;
+    FleetState facts_;
     AdmissionSettings admissionSettings_;
     std::shared_ptr<const RoutingTable> table_;
     std::vector<CustomerLimiter> sharedLimiters_;
--- a/modules/policybench/workload/WorkloadBuilder.cpp
+++ b/modules/policybench/workload/WorkloadBuilder.cpp
@@ -17,7 +17,7 @@
 
 std::uint64_t seedOf(const std::string &name, std::uint64_t seed)
 {
-    return mixHash(customerSeed(name), seed);
+    return mixHash(nameHash(name), seed);
 }
 
 } // namespace
@@ -131,7 +131,7 @@
         std::clamp(logNormal(kind.outputTokens, kind.spread), 2.0, longestOutput));
     request.maxOutputTokens = static_cast<std::uint32_t>(longestOutput);
 
-    const std::uint64_t seed = customerSeed(workload.customers[customer].text());
+    const std::uint64_t seed = nameHash(workload.customers[customer].text());
     const auto document = static_cast<std::uint64_t>(uniform() * double(kind.documents));
     // Documents change slowly, so that caches have to follow.
     const auto epoch = static_cast<std::uint64_t>(time / 60000 + double(document % 7) / 7);
--- a/modules/routing/Router.cpp
+++ b/modules/routing/Router.cpp
@@ -20,7 +20,7 @@
     value.fetch_add(amount, std::memory_order_relaxed);
 }
 
-void updatePrefillRate(UpstreamLive &live, const RoutingTicket &ticket, Millis now)
+void updatePrefillRate(UpstreamLoad &live, const RoutingTicket &ticket, Millis now)
 {
     const std::int64_t tokens = ticket.promptTokensAhead + ticket.promptTokens;
     const std::int64_t elapsed = (now - ticket.startedAt).count();
@@ -80,7 +80,7 @@
     ticket.startedAt = now;
 
     const UpstreamIndex prefillIndex = choice.prefill != noIndex ? choice.prefill : choice.upstream;
-    UpstreamLive &prefillLive = loads_.upstream(prefillIndex);
+    UpstreamLoad &prefillLive = loads_.upstream(prefillIndex);
     ticket.nominalPrefillRate = table.upstream(prefillIndex).prefillTokensPerSecond;
     ticket.promptTokensAhead = prefillLive.promptTokens.load(std::memory_order_relaxed)
         + prefillLive.othersPromptTokens.load(std::memory_order_relaxed);
@@ -99,7 +99,7 @@
             addRelaxed(usage.reclaimableTokens, cost);
     }
     if (request.prefixes != nullptr)
-        hints_.remember(*request.prefixes, prefillIndex, now);
+        hints_.record(*request.prefixes, prefillIndex, now);
     return ticket;
 }
 
@@ -109,7 +109,7 @@
         return;
     ticket.sawFirstToken = true;
     const bool disaggregated = ticket.prefill != noIndex;
-    UpstreamLive &prefillLive = loads_.upstream(disaggregated ? ticket.prefill : ticket.upstream);
+    UpstreamLoad &prefillLive = loads_.upstream(disaggregated ? ticket.prefill : ticket.upstream);
     addRelaxed(prefillLive.promptTokens, -ticket.promptTokens);
     if (disaggregated)
         addRelaxed(prefillLive.requests, -1);
@@ -121,19 +121,19 @@
 {
     const bool disaggregated = ticket.prefill != noIndex;
     if (!ticket.sawFirstToken) {
-        UpstreamLive &prefillLive =
+        UpstreamLoad &prefillLive =
             loads_.upstream(disaggregated ? ticket.prefill : ticket.upstream);
         addRelaxed(prefillLive.promptTokens, -ticket.promptTokens);
         if (disaggregated)
             addRelaxed(prefillLive.requests, -1);
     }
-    UpstreamLive &live = loads_.upstream(ticket.upstream);
+    UpstreamLoad &live = loads_.upstream(ticket.upstream);
     addRelaxed(live.requests, -1);
     addRelaxed(live.outputTokens, -ticket.outputTokens);
     if (outcome == UpstreamOutcome::Success) {
         live.successes.fetch_add(1, std::memory_order_relaxed);
         live.consecutiveFailures.store(0, std::memory_order_relaxed);
-        live.lastFailureAt.store(UpstreamLive::noFailure, std::memory_order_relaxed);
+        live.lastFailureAt.store(UpstreamLoad::noFailure, std::memory_order_relaxed);
     } else if (outcome == UpstreamOutcome::Failure) {
         live.lastFailureAt.store(now.count(), std::memory_order_relaxed);
         live.failures.fetch_add(1, std::memory_order_relaxed);
--- a/modules/routing/Router_test.cpp
+++ b/modules/routing/Router_test.cpp
@@ -81,7 +81,7 @@
     }
 
     Settings settings;
-    LiveFacts fleetState;
+    FleetState fleetState;
     StableIndexes indexes;
     RoutingTable table;
     LiveLoads loads{64, 8};
@@ -103,7 +103,7 @@
     // alone would send every request there, with late first tokens while other engines idle.
     Fleet fleet(9);
     for (UpstreamIndex i = 0; i < 9; ++i)
-        fleet.loads.report(i, {i == 4 ? 0U : 8U, 0, 0}, Millis(1000), start);
+        fleet.loads.applyReport(i, {i == 4 ? 0U : 8U, 0, 0}, Millis(1000), start);
     const auto chosen = fleet.dispatch(fleet.request(), 90);
     CHECK(chosen.size() == 9);
     for (const auto &[upstream, count] : chosen)
@@ -119,7 +119,7 @@
         Fleet fleet(20);
         fleet.random = seededRandom(100 + instance);
         for (UpstreamIndex i = 0; i < 20; ++i)
-            fleet.loads.report(i, {i == 3 ? 0U : 4U, 0, 0}, Millis(800), start);
+            fleet.loads.applyReport(i, {i == 3 ? 0U : 4U, 0, 0}, Millis(800), start);
         for (const auto &[upstream, count] : fleet.dispatch(fleet.request(), 20))
             chosen[upstream] += count;
     }
@@ -156,8 +156,8 @@
     // from the first one's cache entry, it would learn what its competitor works on.
     Fleet fleet(3);
     const std::string prompt = textOf(4096, 'x');
-    const PrefixChain one = prefixChain(customerSeed("one"), prompt);
-    const PrefixChain two = prefixChain(customerSeed("two"), prompt);
+    const PrefixChain one = prefixChain(nameHash("one"), prompt);
+    const PrefixChain two = prefixChain(nameHash("two"), prompt);
     REQUIRE(one.size() == two.size());
     for (std::size_t i = 0; i < one.size(); ++i)
         CHECK(one[i].hash != two[i].hash);
@@ -376,10 +376,10 @@
     CHECK_FALSE(cursor.accept(11));
 
     PrefixHints hints(256);
-    const PrefixChain chain = prefixChain(customerSeed("one"), textOf(2048, 'q'));
-    hints.remember(chain, 3, start);
+    const PrefixChain chain = prefixChain(nameHash("one"), textOf(2048, 'q'));
+    hints.record(chain, 3, start);
     CHECK(hints.find(chain, start).count == 1);
-    hints.forgetUpstream(3);
+    hints.removeUpstream(3);
     CHECK(hints.find(chain, start).count == 0);
 
     hints.stored(chain.back().hash, 5, start);
@@ -392,8 +392,8 @@
 {
     // Engines evict old prefixes, and their events may be lost.
     PrefixHints hints(256);
-    const PrefixChain chain = prefixChain(customerSeed("one"), textOf(2048, 'q'));
-    hints.remember(chain, 3, start);
+    const PrefixChain chain = prefixChain(nameHash("one"), textOf(2048, 'q'));
+    hints.record(chain, 3, start);
     const double fresh = hints.find(chain, start).holders[0].confidence;
     const double aged = hints.find(chain, start + Millis::minutes(5)).holders[0].confidence;
     CHECK(aged < fresh / 2);
--- a/modules/routing/detail/Selection.cpp
+++ b/modules/routing/detail/Selection.cpp
@@ -35,7 +35,7 @@
     return static_cast<double>(value.load(std::memory_order_relaxed));
 }
 
-double prefillRateOf(const UpstreamLive &live, const RoutedUpstream &upstream)
+double prefillRateOf(const UpstreamLoad &live, const RoutedUpstream &upstream)
 {
     const double measured = loadRelaxed(live.prefillRate);
     return std::max(1.0, measured > 0 ? measured : upstream.prefillTokensPerSecond);
@@ -226,7 +226,7 @@
 */
 LoadEstimate Selection::estimateLoad(UpstreamIndex index) const
 {
-    const UpstreamLive &live = loads_.upstream(index);
+    const UpstreamLoad &live = loads_.upstream(index);
     LoadEstimate view{loadRelaxed(live.requests), loadRelaxed(live.promptTokens)};
     const std::int64_t reportedAt = live.reportedAt.load(std::memory_order_relaxed);
     if (reportedAt < 0) {
@@ -245,7 +245,7 @@
 /** Cost of an upstream apart from its load: recent failure, cost class, instance preference. */
 double Selection::loadIndependentCost(UpstreamIndex index) const
 {
-    const UpstreamLive &live = loads_.upstream(index);
+    const UpstreamLoad &live = loads_.upstream(index);
     double cost = 0;
     const std::int64_t failedAt = live.lastFailureAt.load(std::memory_order_relaxed);
     // A dead engine has no load and would attract all retries until it is ejected.
--- a/modules/routing/ejection/OutlierEjector.cpp
+++ b/modules/routing/ejection/OutlierEjector.cpp
@@ -47,7 +47,7 @@
     for (UpstreamIndex index = 0; index < table.upstreamCount(); ++index) {
         if (!table.upstream(index).takesNewWork || isEjected(loads, index, now))
             continue;
-        UpstreamLive &live = loads.upstream(index);
+        UpstreamLoad &live = loads.upstream(index);
         if (isOutlier(live)) {
             if (mayEject(table, loads, index, now))
                 eject(table, live, index, now);
@@ -63,7 +63,7 @@
     }
 }
 
-bool OutlierEjector::isOutlier(const UpstreamLive &live) const
+bool OutlierEjector::isOutlier(const UpstreamLoad &live) const
 {
     const std::uint32_t failures = live.failures.load(std::memory_order_relaxed);
     const std::uint32_t all = failures + live.successes.load(std::memory_order_relaxed);
@@ -98,7 +98,7 @@
     return true;
 }
 
-void OutlierEjector::eject(const RoutingTable &table, UpstreamLive &live, UpstreamIndex upstream,
+void OutlierEjector::eject(const RoutingTable &table, UpstreamLoad &live, UpstreamIndex upstream,
                            Millis now)
 {
     const std::uint32_t before = live.ejections.fetch_add(1, std::memory_order_relaxed);
--- a/modules/routing/ejection/OutlierEjector.h
+++ b/modules/routing/ejection/OutlierEjector.h
@@ -41,10 +41,10 @@
     void evaluate(const RoutingTable &table, LiveLoads &loads, Millis now);
 
 private:
-    bool isOutlier(const UpstreamLive &live) const;
+    bool isOutlier(const UpstreamLoad &live) const;
     bool mayEject(const RoutingTable &table, const LiveLoads &loads, UpstreamIndex upstream,
                   Millis now) const;
-    void eject(const RoutingTable &table, UpstreamLive &live, UpstreamIndex upstream, Millis now);
+    void eject(const RoutingTable &table, UpstreamLoad &live, UpstreamIndex upstream, Millis now);
 
     EjectionOptions options_;
     EventSink events_;
--- a/modules/routing/live/LiveLoads.cpp
+++ b/modules/routing/live/LiveLoads.cpp
@@ -22,13 +22,13 @@
 } // namespace
 
 LiveLoads::LiveLoads(std::size_t upstreams, std::size_t teams)
-    : upstreamCapacity_(upstreams), teamCapacity_(teams), upstreams_(new UpstreamLive[upstreams]),
+    : upstreamCapacity_(upstreams), teamCapacity_(teams), upstreams_(new UpstreamLoad[upstreams]),
       teams_(new TeamUsage[teams])
 { }
 
-void LiveLoads::report(UpstreamIndex index, const LoadReport &report, Millis age, Millis now)
+void LiveLoads::applyReport(UpstreamIndex index, const LoadReport &report, Millis age, Millis now)
 {
-    UpstreamLive &live = upstreams_[index];
+    UpstreamLoad &live = upstreams_[index];
     if (load(live.peerSumsValidUntil) > now.count())
         return;
     const auto requests = static_cast<std::int64_t>(report.running) + report.waiting;
@@ -46,7 +46,7 @@
 void LiveLoads::applyPeerSums(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
                               Millis now, Millis validFor)
 {
-    UpstreamLive &live = upstreams_[index];
+    UpstreamLoad &live = upstreams_[index];
     live.othersRequests.store(requests, std::memory_order_relaxed);
     live.othersPromptTokens.store(promptTokens, std::memory_order_relaxed);
     live.reportedAt.store(now.count(), std::memory_order_relaxed);
--- a/modules/routing/live/LiveLoads.h
+++ b/modules/routing/live/LiveLoads.h
@@ -33,7 +33,7 @@
 
     The members that every selection reads come first and fill one cache line.
 */
-struct alignas(64) UpstreamLive
+struct alignas(64) UpstreamLoad
 {
     /** This instance's requests in progress there. */
     std::atomic<std::int64_t> requests{0};
@@ -88,8 +88,8 @@
     explicit LiveLoads(std::size_t upstreams = defaultUpstreams, std::size_t teams = defaultTeams);
 
     /** Returns the counters of an upstream. The index must be below upstreamCapacity(). */
-    UpstreamLive &upstream(UpstreamIndex index) { return upstreams_[index]; }
-    const UpstreamLive &upstream(UpstreamIndex index) const { return upstreams_[index]; }
+    UpstreamLoad &upstream(UpstreamIndex index) { return upstreams_[index]; }
+    const UpstreamLoad &upstream(UpstreamIndex index) const { return upstreams_[index]; }
     std::size_t upstreamCapacity() const { return upstreamCapacity_; }
 
     TeamUsage &team(TeamIndex index) { return teams_[index]; }
@@ -97,7 +97,7 @@
     std::size_t teamCapacity() const { return teamCapacity_; }
 
     /** Applies a load report. @param age  time since the engine sampled it. Control thread. */
-    void report(UpstreamIndex index, const LoadReport &report, Millis age, Millis now);
+    void applyReport(UpstreamIndex index, const LoadReport &report, Millis age, Millis now);
 
     /** Sets the load summed over all peers; it takes precedence over reports for @c validFor. */
     void applyPeerSums(UpstreamIndex index, std::int64_t requests, std::int64_t promptTokens,
@@ -109,7 +109,7 @@
 private:
     std::size_t upstreamCapacity_;
     std::size_t teamCapacity_;
-    std::unique_ptr<UpstreamLive[]> upstreams_;
+    std::unique_ptr<UpstreamLoad[]> upstreams_;
     std::unique_ptr<TeamUsage[]> teams_;
 };
 
--- a/modules/routing/live/PoolLoad.cpp
+++ b/modules/routing/live/PoolLoad.cpp
@@ -8,7 +8,7 @@
     const RoutingPool &members = table.pool(pool);
     for (const PoolMembers *group : {&members.mixed, &members.prefill, &members.decode}) {
         for (UpstreamIndex index : group->all) {
-            const UpstreamLive &live = loads.upstream(index);
+            const UpstreamLoad &live = loads.upstream(index);
             sum.requests +=
                 static_cast<double>(live.requests.load(std::memory_order_relaxed)
                                     + live.othersRequests.load(std::memory_order_relaxed));
--- a/modules/routing/peers/LoadExchange.cpp
+++ b/modules/routing/peers/LoadExchange.cpp
@@ -15,7 +15,7 @@
 
 std::uint32_t upstreamHash(const UpstreamId &upstream)
 {
-    return static_cast<std::uint32_t>(customerSeed(upstream.text()));
+    return static_cast<std::uint32_t>(nameHash(upstream.text()));
 }
 
 std::uint32_t clampedCount(const std::atomic<std::int64_t> &value)
@@ -99,7 +99,7 @@
     message.incarnation = incarnation_;
     message.sequence = nextSequence_++;
     for (UpstreamIndex index = 0; index < hashes_.size(); ++index) {
-        const UpstreamLive &live = loads.upstream(index);
+        const UpstreamLoad &live = loads.upstream(index);
         const LoadEntry load{hashes_[index], clampedCount(live.requests),
                              clampedCount(live.promptTokens)};
         if (load.requests > 0 || load.promptTokens > 0)
--- a/modules/routing/peers/LoadExchange_test.cpp
+++ b/modules/routing/peers/LoadExchange_test.cpp
@@ -54,7 +54,7 @@
         }
     }
 
-    UpstreamLive &live(std::size_t instance, const char *engine)
+    UpstreamLoad &live(std::size_t instance, const char *engine)
     {
         Instance &self = *instances[instance];
         return self.loads.upstream(self.indexes.upstreams.find(UpstreamId(engine)));
@@ -82,13 +82,13 @@
     group.live(0, "x").requests = 3;
     group.live(1, "x").requests = 4;
     group.live(1, "y").promptTokens = 900;
-    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start);
+    group.instances[2]->loads.applyReport(0, {20, 0, 0}, Millis(500), start);
     group.deliver(0, 2, start);
     CHECK(group.live(2, "x").othersRequests == 20);
     group.deliver(1, 2, start);
     CHECK(group.live(2, "x").othersRequests == 7);
     CHECK(group.live(2, "y").othersPromptTokens == 900);
-    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(500), start + Millis(100));
+    group.instances[2]->loads.applyReport(0, {20, 0, 0}, Millis(500), start + Millis(100));
     CHECK(group.live(2, "x").othersRequests == 7);
 }
 
@@ -103,7 +103,7 @@
     const Millis later = start + Millis(700);
     group.deliver(0, 2, later);
     CHECK_FALSE(group.instances[2]->exchange.hasAllPeerLoads(later));
-    group.instances[2]->loads.report(0, {20, 0, 0}, Millis(300), later);
+    group.instances[2]->loads.applyReport(0, {20, 0, 0}, Millis(300), later);
     CHECK(group.live(2, "x").othersRequests == 20);
 }
 
--- a/modules/routing/prefix/PrefixChain.cpp
+++ b/modules/routing/prefix/PrefixChain.cpp
@@ -33,7 +33,7 @@
     return hash ^ (hash >> 31);
 }
 
-std::uint64_t customerSeed(std::string_view customer)
+std::uint64_t nameHash(std::string_view customer)
 {
     std::uint64_t seed = hashMultiplier;
     for (char letter : customer)
--- a/modules/routing/prefix/PrefixChain.h
+++ b/modules/routing/prefix/PrefixChain.h
@@ -30,7 +30,7 @@
 inline constexpr std::uint32_t prefixBlockTokens = 64;
 
 /** Returns the hash of a customer's, upstream's or instance's name. Never zero. */
-std::uint64_t customerSeed(std::string_view customer);
+std::uint64_t nameHash(std::string_view customer);
 
 /** Combines two numbers into one hash; used for all hashes of this module. */
 std::uint64_t mixHash(std::uint64_t left, std::uint64_t right);
--- a/modules/routing/prefix/PrefixHints.cpp
+++ b/modules/routing/prefix/PrefixHints.cpp
@@ -49,7 +49,7 @@
     : mask_(powerOfTwoAtLeast(entries) - 1), entries_(new Entry[mask_ + 1])
 { }
 
-void PrefixHints::remember(const PrefixChain &chain, UpstreamIndex upstream, Millis now)
+void PrefixHints::record(const PrefixChain &chain, UpstreamIndex upstream, Millis now)
 {
     for (std::size_t i = 0; i < chain.size(); ++i) {
         if (i < pointsPerEnd || i + pointsPerEnd >= chain.size())
@@ -122,7 +122,7 @@
     }
 }
 
-void PrefixHints::forgetUpstream(UpstreamIndex upstream)
+void PrefixHints::removeUpstream(UpstreamIndex upstream)
 {
     for (std::size_t i = 0; i <= mask_; ++i) {
         if (upstreamOf(entries_[i].value.load(std::memory_order_relaxed)) == upstream)
--- a/modules/routing/prefix/PrefixHints.h
+++ b/modules/routing/prefix/PrefixHints.h
@@ -46,7 +46,7 @@
     explicit PrefixHints(std::size_t entries = defaultEntries);
 
     /** Records that the upstream has processed, and probably cached, this prompt. */
-    void remember(const PrefixChain &chain, UpstreamIndex upstream, Millis now);
+    void record(const PrefixChain &chain, UpstreamIndex upstream, Millis now);
 
     /** Returns the upstreams that probably hold the longest prefixes. */
     PrefixHolders find(const PrefixChain &chain, Millis now) const;
@@ -64,7 +64,7 @@
         requests to an engine that has to prefill every prompt from scratch. Later events and
         requests add hints again.
     */
-    void forgetUpstream(UpstreamIndex upstream);
+    void removeUpstream(UpstreamIndex upstream);
 
     std::size_t memoryBytes() const;
 
--- a/modules/routing/routing.h
+++ b/modules/routing/routing.h
@@ -19,6 +19,6 @@
 #include "routing/peers/LoadExchange.h"
 #include "routing/prefix/PrefixChain.h"
 #include "routing/prefix/PrefixHints.h"
-#include "routing/table/LiveFacts.h"
+#include "routing/table/FleetState.h"
 #include "routing/table/RoutingTable.h"
 #include "routing/table/StableIndexes.h"
--- a/modules/routing/table/LiveFacts.h
+++ b/modules/routing/table/FleetState.h
@@ -21,7 +21,7 @@
 };
 
 /** Reported state that a routing table is built from, in addition to the settings. */
-struct LiveFacts
+struct FleetState
 {
     /** Engines that have reported; the settings alone describe the others. */
     std::map<UpstreamId, ReportedEngineState> engines;
--- a/modules/routing/table/RoutingTable.cpp
+++ b/modules/routing/table/RoutingTable.cpp
@@ -87,9 +87,9 @@
     ServiceRoute route;
     route.pool = best->pool;
     route.timeout = best->timeout;
-    route.pathBelow = path.substr(best->prefix.size());
+    route.subPath = path.substr(best->prefix.size());
     route.repeatable = isSafeMethod(method);
-    const std::string_view pathWithoutQuery = route.pathBelow.substr(0, route.pathBelow.find('?'));
+    const std::string_view pathWithoutQuery = route.subPath.substr(0, route.subPath.find('?'));
     const ServiceCallSettings *rule = nullptr;
     for (const ServiceCallSettings &call : best->callRules) {
         const bool longer = rule == nullptr || call.path.size() > rule->path.size();
--- a/modules/routing/table/RoutingTable.h
+++ b/modules/routing/table/RoutingTable.h
@@ -5,7 +5,7 @@
 #include "core/time/Millis.h"
 #include "ports/engines/EngineControl.h"
 #include "ports/fleet/FleetOrdering.h"
-#include "routing/table/LiveFacts.h"
+#include "routing/table/FleetState.h"
 #include "routing/table/StableIndexes.h"
 #include "settings/model/Settings.h"
 
@@ -87,7 +87,7 @@
     bool repeatable = true;
     bool idempotencyKeyRequired = false;
     /** The path after the service's prefix. */
-    std::string_view pathBelow;
+    std::string_view subPath;
 };
 
 /**
@@ -170,7 +170,7 @@
     An engine's reported role, models and adapters take precedence over its settings, because a
     request sent to an engine that has not loaded the model yet would fail.
 */
-RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &fleetState,
+RoutingTable buildRoutingTable(const Settings &settings, const FleetState &fleetState,
                                StableIndexes &indexes);
 
 } // namespace cuminrail
--- a/modules/routing/table/RoutingTableBuilder.cpp
+++ b/modules/routing/table/RoutingTableBuilder.cpp
@@ -44,7 +44,7 @@
 class RoutingTableBuilder
 {
 public:
-    RoutingTableBuilder(const Settings &settings, const LiveFacts &fleetState,
+    RoutingTableBuilder(const Settings &settings, const FleetState &fleetState,
                         StableIndexes &indexes)
         : settings_(settings), fleetState_(fleetState), indexes_(indexes)
     { }
@@ -202,7 +202,7 @@
         if (prefillEngines.empty())
             prefillEngines = pool.decode.all;
         for (UpstreamIndex index : prefillEngines) {
-            const std::uint64_t seed = customerSeed(table_.upstreams_[index].id.text());
+            const std::uint64_t seed = nameHash(table_.upstreams_[index].id.text());
             for (int point = 0; point < ringPointsPerEngine; ++point)
                 pool.ring.emplace_back(mixHash(seed, static_cast<std::uint64_t>(point) + 1), index);
         }
@@ -240,7 +240,7 @@
         RoutingTable::Customer &row = table_.customers_[index];
         row.present = true;
         row.team = team;
-        row.seed = customerSeed(customer.id.text());
+        row.seed = nameHash(customer.id.text());
         row.priority = customer.priority;
         for (const ModelId &model : customer.models)
             row.pools.push_back(indexes_.pools.indexOf(modelPoolName(model)));
@@ -249,12 +249,12 @@
     }
 
     const Settings &settings_;
-    const LiveFacts &fleetState_;
+    const FleetState &fleetState_;
     StableIndexes &indexes_;
     RoutingTable table_;
 };
 
-RoutingTable buildRoutingTable(const Settings &settings, const LiveFacts &fleetState,
+RoutingTable buildRoutingTable(const Settings &settings, const FleetState &fleetState,
                                StableIndexes &indexes)
 {
     return RoutingTableBuilder(settings, fleetState, indexes).build();
--- a/programs/cuminrail-bench/DecideCommand.cpp
+++ b/programs/cuminrail-bench/DecideCommand.cpp
@@ -92,9 +92,10 @@
         admission.setCapacity(*table.findModel("m" + std::to_string(i)),
                               {static_cast<double>(inProgress), 1e9, 1e9, 8000});
     for (std::size_t i = 0; i < upstreams; ++i)
-        loads.report(static_cast<UpstreamIndex>(i), {8, 1, 500}, Millis(300), Millis::seconds(1));
+        loads.applyReport(static_cast<UpstreamIndex>(i), {8, 1, 500}, Millis(300),
+                          Millis::seconds(1));
     for (std::size_t i = 0; i < 512; ++i)
-        prompts.push_back(prefixChain(customerSeed("customer-" + std::to_string(i)),
+        prompts.push_back(prefixChain(nameHash("customer-" + std::to_string(i)),
                                       std::string(3600, static_cast<char>('a' + i % 26))));
 }
 
@@ -276,7 +277,7 @@
     const double perRequest =
         static_cast<double>(idle.memoryBytes() - before) / static_cast<double>(held);
     return {{"bytes_per_customer", perCustomer},
-            {"bytes_per_upstream_live", sizeof(UpstreamLive)},
+            {"bytes_per_upstream_live", sizeof(UpstreamLoad)},
             {"bytes_per_upstream_table", sizeof(RoutedUpstream)},
             {"bytes_per_request_admission", perRequest},
             {"bytes_per_request_routing", sizeof(RoutingTicket)},
