--- a/modules/dataplane/model/RequestMessages.h
+++ b/modules/dataplane/model/RequestMessages.h
@@ -32,7 +32,7 @@
 {
     std::string id;
     /** The caller's time-out, counted from the request's arrival; not set if not stated. */
-    std::optional<Millis> patience;
+    std::optional<Millis> timeout;
     /** The caller's key; never logged and never forwarded. */
     std::string key;
     std::optional<PromptShape> prompt;
@@ -60,7 +60,7 @@
 };
 
 /** What an upstream's response states besides its status and body. */
-struct AnswerTraits
+struct ResponseTraits
 {
     /** The upstream states that it did not execute the request. */
     bool isRefusedUnrun = false;
--- a/modules/dataplane/waiting/CallerPatience.h
+++ b/modules/dataplane/waiting/CallerTimeout.h
@@ -12,14 +12,14 @@
     The interface of the users' callers specifies it: two seconds, four times the latency target or
     eight times the target for the gap between events, whichever is longest.
 */
-inline Millis callerPatience(Millis goal, Millis gapGoal)
+inline Millis callerTimeout(Millis goal, Millis gapGoal)
 {
     return std::max({Millis::seconds(2), goal * 4, gapGoal * 8});
 }
 
-inline Millis callerPatience(const Route &route)
+inline Millis callerTimeout(const Route &route)
 {
-    return callerPatience(route.goal, route.gapGoal);
+    return callerTimeout(route.goal, route.gapGoal);
 }
 
 } // namespace cuminrail
--- a/modules/dataplane/waiting/PromptDeferral.cpp
+++ b/modules/dataplane/waiting/PromptDeferral.cpp
@@ -6,7 +6,7 @@
 {
     const auto elapsed = static_cast<double>(outlook.elapsed.count());
     const auto goal = static_cast<double>(outlook.goal.count());
-    const auto callerTimeout = static_cast<double>(outlook.patience.count());
+    const auto callerTimeout = static_cast<double>(outlook.callerTimeout.count());
     if (elapsed + outlook.firstEventMillis <= settings_.goalShare * goal)
         return PromptDecision::Send;
     const double processingMillis = outlook.firstEventMillis - outlook.waitMillis;
--- a/modules/dataplane/waiting/PromptDeferral.h
+++ b/modules/dataplane/waiting/PromptDeferral.h
@@ -17,7 +17,7 @@
     /** Latency target of the first event, counted from the request's arrival. */
     Millis goal;
     /** Time after which the caller disconnects, counted from the request's arrival. */
-    Millis patience;
+    Millis callerTimeout;
     /** Age of the route's oldest deferred prompt; set for a prompt that is not deferred yet. */
     Millis queueAge;
 };
--- a/modules/dataplane/waiting/PromptDeferral_test.cpp
+++ b/modules/dataplane/waiting/PromptDeferral_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "dataplane/waiting/CallerPatience.h"
+#include "dataplane/waiting/CallerTimeout.h"
 #include "dataplane/waiting/DeferredPrompts.h"
 #include "dataplane/waiting/PromptDeferral.h"
 
@@ -41,7 +41,7 @@
         outlook.firstEventMillis = row.firstEventMillis;
         outlook.elapsed = Millis(row.elapsed);
         outlook.goal = Millis(800);
-        outlook.patience = Millis(3200);
+        outlook.callerTimeout = Millis(3200);
         CHECK(deferral.decide(outlook) == row.decision);
     }
 }
@@ -58,7 +58,7 @@
         outlook.waitMillis = 500;
         outlook.firstEventMillis = 900;
         outlook.goal = Millis(800);
-        outlook.patience = Millis(3200);
+        outlook.callerTimeout = Millis(3200);
         outlook.queueAge = Millis(queueAge);
         const bool cannotSucceed = queueAge + 400 > 3200;
         CHECK(deferral.decide(outlook)
@@ -100,6 +100,6 @@
     };
     for (const Row &row : {Row{400, 200, 2000}, Row{800, 250, 3200}, Row{400, 400, 3200}}) {
         CAPTURE(row.timeoutMillis);
-        CHECK(callerPatience(Millis(row.goal), Millis(row.gapGoal)) == Millis(row.timeoutMillis));
+        CHECK(callerTimeout(Millis(row.goal), Millis(row.gapGoal)) == Millis(row.timeoutMillis));
     }
 }
--- a/modules/emulation/load/LoadFile.cpp
+++ b/modules/emulation/load/LoadFile.cpp
@@ -171,7 +171,7 @@
     members.flag("can_resume", kind.canResume);
 }
 
-void readEngine(Members &members, EngineFigures &engine)
+void fetchEngineReport(Members &members, EngineFigures &engine)
 {
     members.whole("slots", engine.slots, 1);
     members.whole("waiting", engine.waiting);
@@ -232,7 +232,7 @@
     members.number("repeat_ratio", plan.repeatRatio);
     members.number("repeat_extra", plan.repeatExtra);
     members.positive("repeat_window_ms", plan.repeatWindowMs);
-    members.object("engine", [&](Members &engine) { readEngine(engine, plan.engine); });
+    members.object("engine", [&](Members &engine) { fetchEngineReport(engine, plan.engine); });
     members.list("kinds", plan.kinds, reading<LoadKind>(readKind));
     members.list("surges", plan.surges, reading<Surge>(readSurge));
     members.list("losses", plan.losses, reading<EngineLoss>(readLoss));
--- a/modules/emulation/run/LoadRun.cpp
+++ b/modules/emulation/run/LoadRun.cpp
@@ -1,6 +1,6 @@
 #include "emulation/run/LoadRun.h"
 
-#include "dataplane/waiting/CallerPatience.h"
+#include "dataplane/waiting/CallerTimeout.h"
 
 #include <algorithm>
 
@@ -22,7 +22,7 @@
 {
     const Millis goal(static_cast<std::int64_t>(kind.goalMs));
     const Millis gapGoal(static_cast<std::int64_t>(kind.pauseGoalMs));
-    return static_cast<double>(callerPatience(goal, gapGoal).count());
+    return static_cast<double>(callerTimeout(goal, gapGoal).count());
 }
 
 } // namespace
@@ -215,7 +215,7 @@
     outlook.firstEventMillis = choice.firstEventMillis;
     outlook.elapsed = millis(queue_.now() - requests_[index].atMs);
     outlook.goal = millis(kind.goalMs);
-    outlook.patience = millis(patienceMs(kind));
+    outlook.callerTimeout = millis(patienceMs(kind));
     if (!flights_[index].isHeld)
         outlook.queueAge =
             instances_[requests_[index].instance].heldPrompts.oldestAge(kind.name, now());
--- a/modules/gateway/Gateway.cpp
+++ b/modules/gateway/Gateway.cpp
@@ -1,7 +1,7 @@
 #include "gateway/Gateway.h"
 
 #include "core/events/EventCatalogue.h"
-#include "gateway/control/ObservedStore.h"
+#include "gateway/control/StoreFailureHook.h"
 #include "gateway/request/RequestRelay.h"
 
 #include <chrono>
@@ -59,7 +59,7 @@
 
 } // namespace
 
-Gateway::Gateway(InstanceSettings settings, GatewayWire wire, Environment environment)
+Gateway::Gateway(InstanceSettings settings, GatewayProtocol wire, Environment environment)
     : settings_(std::move(settings)), wire_(std::move(wire)), environment_(std::move(environment)),
       pool_(environment_.io, environment_.deadlines, poolLimits()),
       context_(wire_, environment_.deadlines, pool_, settings_),
@@ -196,7 +196,7 @@
 HttpResponse Gateway::problemAnswer(int status, const Reason &reason) const
 {
     const auto retryAfter = status == 503 ? std::optional<Millis>(Millis(500)) : std::nullopt;
-    return wire_.ownAnswer(status, {}, retryAfter, reason.toString());
+    return wire_.localResponse(status, {}, retryAfter, reason.toString());
 }
 
 GatewayGauges Gateway::gauges() const
@@ -206,7 +206,7 @@
     gauges.isReady = isReady();
     gauges.configurationVersion = context_.index == nullptr ? 0 : context_.index->version();
     gauges.configurationAgeSeconds = (now - context_.configurationConfirmedAt).toSeconds();
-    gauges.upstreamsAgeSeconds = (now - context_.upstreamsConfirmed).toSeconds();
+    gauges.upstreamsAgeSeconds = (now - context_.upstreamsConfirmedAt).toSeconds();
     gauges.upstreams = context_.directory.size();
     gauges.callerConnections = callers_.openConnections();
     gauges.upstreamConnections = pool_.openConnections();
--- a/modules/gateway/Gateway.h
+++ b/modules/gateway/Gateway.h
@@ -1,15 +1,15 @@
 #pragma once
 
-#include "gateway/GatewayWire.h"
+#include "gateway/GatewayProtocol.h"
 #include "gateway/admin/GatewayAdmin.h"
 #include "gateway/control/FleetLease.h"
 #include "gateway/control/InstanceGroup.h"
 #include "gateway/control/InstanceRegistry.h"
-#include "gateway/control/PeerConfiguration.h"
+#include "gateway/control/PeerConfigurationFetcher.h"
 #include "gateway/control/ScaleDuty.h"
 #include "gateway/control/StageDuty.h"
 #include "gateway/control/StoreSync.h"
-#include "gateway/peers/PeerFabric.h"
+#include "gateway/peers/PeerLinkManager.h"
 #include "gateway/request/RelayContext.h"
 #include "gateway/usage/GatewayUsage.h"
 #include "net/server/HttpServer.h"
@@ -46,7 +46,7 @@
         std::function<std::uint64_t()> logLinesDropped;
     };
 
-    Gateway(InstanceSettings settings, GatewayWire wire, Environment environment);
+    Gateway(InstanceSettings settings, GatewayProtocol wire, Environment environment);
     ~Gateway();
     Gateway(const Gateway &) = delete;
     Gateway &operator=(const Gateway &) = delete;
@@ -71,7 +71,7 @@
     std::uint16_t adminPort() const { return admin_.port(); }
     bool isReady() const;
     /** Applies a configuration from another source than the store, if it is newer. */
-    void takeConfiguration(const std::string &text, const std::string &source)
+    void applyConfiguration(const std::string &text, const std::string &source)
     {
         sync_.applyConfigurationText(text, source);
     }
@@ -104,7 +104,7 @@
     AdminPages adminPages();
 
     InstanceSettings settings_;
-    GatewayWire wire_;
+    GatewayProtocol wire_;
     Environment environment_;
     UpstreamPool pool_;
     RelayContext context_;
@@ -116,8 +116,8 @@
     InstanceRegistry registry_;
     FleetLease lease_;
     Millis startedAt_;
-    PeerConfiguration peers_;
-    PeerFabric fabric_;
+    PeerConfigurationFetcher peers_;
+    PeerLinkManager fabric_;
     /** Expires queries to other instances. */
     Deadline queryTick_;
     std::uint64_t peersRevision_ = 0;
--- a/modules/gateway/GatewayWire.h
+++ b/modules/gateway/GatewayProtocol.h
@@ -49,7 +49,7 @@
 }}};
 
 /** The part of an engine's state report that orders depend on. */
-struct EngineReportBrief
+struct EngineReportSummary
 {
     EngineStage stage = EngineStage::Whole;
     /** The engine is executing an order. */
@@ -61,7 +61,7 @@
 using DutyCompletion = std::function<void(DutyResult, const Reason &)>;
 
 /** Hooks that encode, decode and send the messages of the outside protocols. */
-struct GatewayWire
+struct GatewayProtocol
 {
     /** The header that carries the request's identity in requests and responses. */
     std::string identityHeader;
@@ -73,12 +73,12 @@
     std::function<std::string(const HttpHead &, std::string_view body, const InboundRequest &,
                               const OutboundFields &)>
         encodeRequest;
-    std::function<AnswerTraits(const HttpHead &)> decodeAnswer;
+    std::function<ResponseTraits(const HttpHead &)> decodeResponse;
     std::function<std::vector<HttpHeader>(const HttpHead &)> callerHeaders;
     /** Builds a response that the gateway itself generates. */
     std::function<HttpResponse(int status, const std::string &requestId,
                                std::optional<Millis> retryAfter, const std::string &why)>
-        ownAnswer;
+        localResponse;
     std::function<std::optional<CacheHandle>(const std::string &body, Reason *)> decodeCacheHandle;
     std::function<std::string(const std::string &handle, const UpstreamEntry &)>
         encodeHandleRelease;
@@ -91,8 +91,8 @@
         reportUsage;
     std::function<void(const ScaleTarget &, const DutyAuthority &, DutyCompletion)> orderUpstreams;
     std::function<void(const UpstreamEntry &,
-                       std::function<void(const std::optional<EngineReportBrief> &)>)>
-        readEngine;
+                       std::function<void(const std::optional<EngineReportSummary> &)>)>
+        fetchEngineReport;
     /** Takes effect only if the engine has accepted exactly @c ordersAccepted orders so far. */
     std::function<void(const UpstreamEntry &, EngineStage to, std::uint64_t ordersAccepted,
                        const DutyAuthority &, DutyCompletion)>
--- a/modules/gateway/control/FleetDuties_test.cpp
+++ b/modules/gateway/control/FleetDuties_test.cpp
@@ -1,6 +1,6 @@
 #include <doctest/doctest.h>
 
-#include "gateway/control/PeerConfiguration.h"
+#include "gateway/control/PeerConfigurationFetcher.h"
 #include "gateway/control/ScaleDuty.h"
 #include "gateway/control/StageDuty.h"
 #include "runtime/threads/IoThread.h"
@@ -19,7 +19,7 @@
             scaleOrders.push_back(target);
             done(scaleResult, {});
         };
-        wire.readEngine = [this](const UpstreamEntry &, const auto &done) { done(report); };
+        wire.fetchEngineReport = [this](const UpstreamEntry &, const auto &done) { done(report); };
         wire.orderStage = [this](const UpstreamEntry &engine, EngineStage to,
                                  std::uint64_t accepted, const DutyAuthority &,
                                  const DutyCompletion &done) {
@@ -65,12 +65,12 @@
     DeadlineList deadlines;
     UpstreamPool pool{io, deadlines};
     InstanceSettings settings;
-    GatewayWire wire;
+    GatewayProtocol wire;
     RelayContext context{wire, deadlines, pool, settings};
     bool isHolder = true;
     DutyResult scaleResult = DutyResult::Accepted;
     DutyResult stageResult = DutyResult::Accepted;
-    std::optional<EngineReportBrief> report = EngineReportBrief{EngineStage::Decode, false, 4};
+    std::optional<EngineReportSummary> report = EngineReportSummary{EngineStage::Decode, false, 4};
     std::vector<ScaleTarget> scaleOrders;
     std::vector<std::pair<std::string, EngineStage>> stageOrders;
 };
@@ -165,9 +165,9 @@
 TEST_CASE("engines that are busy, silent or already changed are not ordered")
 {
     for (const auto &report :
-         {std::optional<EngineReportBrief>(),
-          std::make_optional(EngineReportBrief{EngineStage::Decode, true, 4}),
-          std::make_optional(EngineReportBrief{EngineStage::Prefill, false, 4})}) {
+         {std::optional<EngineReportSummary>(),
+          std::make_optional(EngineReportSummary{EngineStage::Decode, true, 4}),
+          std::make_optional(EngineReportSummary{EngineStage::Prefill, false, 4})}) {
         DutyFixture fixture;
         StageDuty duty(fixture.context, fixture.authority());
         for (const char *id : {"e-1", "e-2", "e-3"})
--- a/modules/gateway/control/FleetLease.h
+++ b/modules/gateway/control/FleetLease.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "gateway/GatewayWire.h"
+#include "gateway/GatewayProtocol.h"
 #include "gateway/control/InstanceRegistry.h"
 #include "lease/manager/DutyLease.h"
 
--- a/modules/gateway/control/PeerConfiguration.cpp
+++ b/modules/gateway/control/PeerConfigurationFetcher.cpp
@@ -1,4 +1,4 @@
-#include "gateway/control/PeerConfiguration.h"
+#include "gateway/control/PeerConfigurationFetcher.h"
 
 namespace cuminrail {
 
@@ -10,14 +10,15 @@
 
 } // namespace
 
-PeerConfiguration::PeerConfiguration(RelayContext &context, const InstanceRegistry &registry,
-                                     RandomHook random,
-                                     std::function<void(const std::string &)> onNewer)
+PeerConfigurationFetcher::PeerConfigurationFetcher(RelayContext &context,
+                                                   const InstanceRegistry &registry,
+                                                   RandomHook random,
+                                                   std::function<void(const std::string &)> onNewer)
     : context_(context), registry_(registry), random_(std::move(random)),
       onNewer_(std::move(onNewer))
 { }
 
-void PeerConfiguration::tick(bool isStoreSilent)
+void PeerConfigurationFetcher::tick(bool isStoreSilent)
 {
     const Millis now = context_.now();
     if (!isStoreSilent || now < nextQueryAt_ || context_.index == nullptr)
@@ -32,7 +33,7 @@
         query(peer.address);
 }
 
-void PeerConfiguration::query(const std::string &address)
+void PeerConfigurationFetcher::query(const std::string &address)
 {
     UpstreamRequest request;
     request.address = address;
--- a/modules/gateway/control/PeerConfiguration.h
+++ b/modules/gateway/control/PeerConfigurationFetcher.h
@@ -13,7 +13,7 @@
     remain valid here for as long as that lasts. Any instance with a newer version returns it;
     versions only ever increase, so a peer that is itself behind does no harm.
 */
-class PeerConfiguration
+class PeerConfigurationFetcher
 {
 public:
     /** Time without confirmation by the store: the length of a watch and its time-out. */
@@ -21,8 +21,9 @@
     static constexpr Millis queryInterval = Millis(700);
 
     /** @param onNewer  called with the text of a newer configuration */
-    PeerConfiguration(RelayContext &context, const InstanceRegistry &registry, RandomHook random,
-                      std::function<void(const std::string &text)> onNewer);
+    PeerConfigurationFetcher(RelayContext &context, const InstanceRegistry &registry,
+                             RandomHook random,
+                             std::function<void(const std::string &text)> onNewer);
 
     /** Queries a peer when due; @c isStoreSilent while the store does not respond here. */
     void tick(bool isStoreSilent);
--- a/modules/gateway/control/StageDuty.cpp
+++ b/modules/gateway/control/StageDuty.cpp
@@ -72,13 +72,13 @@
     context_.events(
         Event{&events::roleChangeDecided,
               {{"engine", change.id}, {"to", std::string(engineStageNames.name(change.to))}}});
-    context_.wire.readEngine(engine->entry, [this, engine, to = change.to](const auto &report) {
-        onEngineReport(engine, to, report);
-    });
+    context_.wire.fetchEngineReport(
+        engine->entry,
+        [this, engine, to = change.to](const auto &report) { onEngineReport(engine, to, report); });
 }
 
 void StageDuty::onEngineReport(const UpstreamPointer &engine, EngineStage to,
-                               const std::optional<EngineReportBrief> &report)
+                               const std::optional<EngineReportSummary> &report)
 {
     const std::string &id = engine->entry.id;
     const auto authority = authority_();
--- a/modules/gateway/control/ObservedStore.cpp
+++ b/modules/gateway/control/StoreFailureHook.cpp
@@ -1,4 +1,4 @@
-#include "gateway/control/ObservedStore.h"
+#include "gateway/control/StoreFailureHook.h"
 
 #include <utility>
 
--- a/modules/gateway/control/StoreSync.cpp
+++ b/modules/gateway/control/StoreSync.cpp
@@ -63,7 +63,7 @@
     hooks.onListed = [this](const std::vector<StoreObject> &objects) { replaceUpstreams(objects); };
     hooks.onChanged = [this](const StoreObject &object) { applyUpstream(object); };
     hooks.onUpToDate = [this] {
-        context_.upstreamsConfirmed = context_.now();
+        context_.upstreamsConfirmedAt = context_.now();
         context_.directory.expire(context_.now());
     };
     hooks.onStoreRecovered = [this, logged = hooks.onStoreRecovered] {
--- a/modules/gateway/gateway.h
+++ b/modules/gateway/gateway.h
@@ -13,4 +13,4 @@
 */
 
 #include "gateway/Gateway.h"
-#include "gateway/GatewayWire.h"
+#include "gateway/GatewayProtocol.h"
--- a/modules/gateway/peers/PeerFabric.cpp
+++ b/modules/gateway/peers/PeerLinkManager.cpp
@@ -1,4 +1,4 @@
-#include "gateway/peers/PeerFabric.h"
+#include "gateway/peers/PeerLinkManager.h"
 
 #include "core/events/EventCatalogue.h"
 #include "core/hash/StableHash.h"
@@ -49,11 +49,11 @@
 
 } // namespace
 
-PeerFabric::PeerFabric(Environment environment, HostPort listen, FrameHandler onFrame)
+PeerLinkManager::PeerLinkManager(Environment environment, HostPort listen, FrameHandler onFrame)
     : environment_(std::move(environment)), listen_(std::move(listen)), onFrame_(std::move(onFrame))
 { }
 
-void PeerFabric::tick()
+void PeerLinkManager::tick()
 {
     const Millis now = environment_.clock.now();
     if (isOpen())
@@ -65,7 +65,7 @@
     environment_.store.get(secretPath, [this](const StoreReply &reply) { onSecretRead(reply); });
 }
 
-void PeerFabric::maintainLinks(std::vector<PeerAddress> peers)
+void PeerLinkManager::maintainLinks(std::vector<PeerAddress> peers)
 {
     const Millis now = environment_.clock.now();
     std::map<PeerAddress, Millis> connectAt;
@@ -80,7 +80,7 @@
     nextConnectAt_ = std::move(connectAt);
 }
 
-void PeerFabric::connectDuePeers(Millis now)
+void PeerLinkManager::connectDuePeers(Millis now)
 {
     int remaining = maxConnectsPerTick;
     for (auto &[peer, nextAt] : nextConnectAt_) {
@@ -93,7 +93,7 @@
     }
 }
 
-void PeerFabric::onSecretRead(const StoreReply &reply)
+void PeerLinkManager::onSecretRead(const StoreReply &reply)
 {
     isSecretRequested_ = false;
     if (isOpen() || isStopped_)
@@ -104,7 +104,7 @@
         open(reply.objects.front().value);
 }
 
-void PeerFabric::createSecret()
+void PeerLinkManager::createSecret()
 {
     isSecretRequested_ = true;
     const std::string generated = toHex(detail::randomBytes(secretBytes));
@@ -115,7 +115,7 @@
     });
 }
 
-void PeerFabric::open(const std::string &secret)
+void PeerLinkManager::open(const std::string &secret)
 {
     Reason reason;
     auto secrets = SharedSecrets::fromText(secret, &reason);
@@ -134,7 +134,7 @@
     environment_.events(Event{&events::peerLinksNotOpen, {{"reason", reason.toString()}}});
 }
 
-PeerTransport PeerFabric::transport()
+PeerTransport PeerLinkManager::transport()
 {
     PeerTransport port;
     port.send = [this](const PeerAddress &to, std::string frame) {
@@ -144,7 +144,7 @@
     return port;
 }
 
-void PeerFabric::stop()
+void PeerLinkManager::stop()
 {
     isStopped_ = true;
     if (links_)
--- a/modules/gateway/peers/PeerFabric.h
+++ b/modules/gateway/peers/PeerLinkManager.h
@@ -27,7 +27,7 @@
     instance does not listen and frames sent are dropped: users of the transport must tolerate lost
     replies anyway.
 */
-class PeerFabric
+class PeerLinkManager
 {
 public:
     using FrameHandler = std::function<void(const PeerAddress &from, const std::string &frame)>;
@@ -41,7 +41,7 @@
     };
 
     /** @param listen  address on which this instance accepts links, also advertised to others */
-    PeerFabric(Environment environment, HostPort listen, FrameHandler onFrame);
+    PeerLinkManager(Environment environment, HostPort listen, FrameHandler onFrame);
 
     /** Reads the secret and connects to peers when due; to be called a few times a second. */
     void tick();
--- a/modules/gateway/request/RelayAnswer.cpp
+++ b/modules/gateway/request/RelayAnswer.cpp
@@ -23,7 +23,7 @@
         attempt_.isPrefill ? attempt_.choice->prefill : attempt_.upstream;
     context_.health.progressed(upstream->entry.id, context_.now());
     attempt_.status = head.status;
-    attempt_.traits = context_.wire.decodeAnswer(head);
+    attempt_.traits = context_.wire.decodeResponse(head);
     attempt_.isInvalid =
         head.find(context_.wire.identityHeader) == nullptr && !attempt_.traits.isRefusedUnrun;
     if (!attempt_.isInvalid && !attempt_.traits.isOtherUpstream)
@@ -153,7 +153,7 @@
     ++context_.counters.refused;
     context_.metrics.requestGivenUp(cause, RequestOutcome::Refused);
     logEnd(events::requestRefused, status, cause, why);
-    exchange_->respond(context_.wire.ownAnswer(status, inbound_.id, retryAfter, why));
+    exchange_->respond(context_.wire.localResponse(status, inbound_.id, retryAfter, why));
     endRequest(RequestOutcome::Refused);
 }
 
@@ -170,7 +170,7 @@
     } else {
         const int status = context_.now() >= deadlineAt_ ? 504 : 502;
         logEnd(events::requestFailed, status, cause, why);
-        exchange_->respond(context_.wire.ownAnswer(status, inbound_.id, std::nullopt, why));
+        exchange_->respond(context_.wire.localResponse(status, inbound_.id, std::nullopt, why));
     }
     endRequest(RequestOutcome::Failed);
 }
--- a/modules/gateway/request/RelayContext.h
+++ b/modules/gateway/request/RelayContext.h
@@ -4,9 +4,9 @@
 #include "dataplane/dataplane.h"
 #include "dataplane/model/InstanceSettings.h"
 #include "dataplane/placement/LeastLoaded.h"
-#include "dataplane/waiting/CallerPatience.h"
+#include "dataplane/waiting/CallerTimeout.h"
 #include "dataplane/waiting/DeferredPrompts.h"
-#include "gateway/GatewayWire.h"
+#include "gateway/GatewayProtocol.h"
 #include "gateway/admin/GatewayMetrics.h"
 #include "gateway/request/RelayCounters.h"
 #include "net/upstream/UpstreamPool.h"
@@ -23,7 +23,7 @@
 /** State shared by all requests of an instance. Used only on the event loop's thread. */
 struct RelayContext
 {
-    RelayContext(const GatewayWire &gatewayWire, DeadlineList &deadlineList,
+    RelayContext(const GatewayProtocol &gatewayWire, DeadlineList &deadlineList,
                  UpstreamPool &upstreams, const InstanceSettings &instanceSettings)
         : wire(gatewayWire), deadlines(deadlineList), pool(upstreams), settings(instanceSettings),
           engines(instanceSettings.decisions.placement),
@@ -32,7 +32,7 @@
 
     Millis now() const { return deadlines.now(); }
 
-    const GatewayWire &wire;
+    const GatewayProtocol &wire;
     DeadlineList &deadlines;
     UpstreamPool &pool;
     const InstanceSettings &settings;
@@ -40,7 +40,7 @@
     std::shared_ptr<const RouteIndex> index;
     /** When the store last confirmed that the configuration and upstreams here are current. */
     Millis configurationConfirmedAt;
-    Millis upstreamsConfirmed;
+    Millis upstreamsConfirmedAt;
     UpstreamDirectory directory;
     UpstreamHealth health;
     EnginePlacement engines;
--- a/modules/gateway/request/RelayLog.cpp
+++ b/modules/gateway/request/RelayLog.cpp
@@ -32,7 +32,7 @@
                  {"left_ms", text(deadlineAt_ - now)},
                  {"configuration", std::to_string(index_->version())},
                  {"configuration_age_ms", text(now - context_.configurationConfirmedAt)},
-                 {"upstreams_age_ms", text(now - context_.upstreamsConfirmed)},
+                 {"upstreams_age_ms", text(now - context_.upstreamsConfirmedAt)},
                  {"bad_share_pct", text(100 * context_.health.badShare(upstream.id))}}};
     if (attempt_.choice) {
         event.fields.emplace_back("expected_ms", text(attempt_.choice->expectedMillis));
--- a/modules/gateway/request/RelayWaiting.cpp
+++ b/modules/gateway/request/RelayWaiting.cpp
@@ -22,7 +22,7 @@
     outlook.firstEventMillis = attempt_.choice->firstEventMillis;
     outlook.elapsed = context_.now() - arrivedAt_;
     outlook.goal = route_->goal;
-    outlook.patience = callerPatience(*route_);
+    outlook.callerTimeout = callerTimeout(*route_);
     if (!isDeferred_)
         outlook.queueAge = context_.deferredPrompts.oldestAge(route_->name, context_.now());
     switch (context_.deferral.decide(outlook)) {
--- a/modules/gateway/request/RequestRelay.cpp
+++ b/modules/gateway/request/RequestRelay.cpp
@@ -89,8 +89,7 @@
         return false;
     service_ = RouteIndex::target(*route_, inbound_.id);
     lastEventId_ = inbound_.resumeAfter;
-    const Millis timeout =
-        inbound_.patience ? *inbound_.patience - responseTransit : route_->timeout;
+    const Millis timeout = inbound_.timeout ? *inbound_.timeout - responseTransit : route_->timeout;
     deadlineAt_ = arrivedAt_ + std::min(timeout, route_->timeout);
     deadlineTimer_.setAt(deadlineAt_);
     return true;
--- a/modules/gateway/request/RequestRelay.h
+++ b/modules/gateway/request/RequestRelay.h
@@ -52,7 +52,7 @@
         bool isCounted = false;
         Millis sentAt;
         int status = 0;
-        AnswerTraits traits;
+        ResponseTraits traits;
         std::vector<HttpHeader> headers;
         std::string body;
         bool isStreaming = false;
--- a/modules/gateway/usage/UsageDuty.h
+++ b/modules/gateway/usage/UsageDuty.h
@@ -3,7 +3,7 @@
 #include "core/events/Event.h"
 #include "core/time/Clock.h"
 #include "dataplane/usage/UsageLedger.h"
-#include "gateway/GatewayWire.h"
+#include "gateway/GatewayProtocol.h"
 #include "gateway/usage/UsageRecords.h"
 #include "gateway/usage/UsageTiming.h"
 #include "ports/store/ObjectStore.h"
--- a/modules/scenario/language/ScenarioParser.cpp
+++ b/modules/scenario/language/ScenarioParser.cpp
@@ -69,7 +69,7 @@
     if (keyword == "instance") {
         readInstance(words);
     } else if (keyword == "engine") {
-        readEngine(words);
+        fetchEngineReport(words);
     } else if (keyword == "zone") {
         readZone(words);
     } else if (keyword == "team") {
@@ -98,7 +98,7 @@
     script_.setups.push_back({[name, domain](ScenarioWorld &w) { w.addInstance(name, domain); }});
 }
 
-void ScenarioParser::readEngine(StatementReader &words)
+void ScenarioParser::fetchEngineReport(StatementReader &words)
 {
     const UpstreamId id(words.word("the engine's name"));
     words.require("domain");
--- a/modules/scenario/language/ScenarioParser.h
+++ b/modules/scenario/language/ScenarioParser.h
@@ -22,7 +22,7 @@
 private:
     void readSetup(const std::string &keyword, StatementReader &words);
     void readInstance(StatementReader &words);
-    void readEngine(StatementReader &words);
+    void fetchEngineReport(StatementReader &words);
     void readZone(StatementReader &words);
     void readSteps(StatementReader &words);
     void readAction(Millis at, StatementReader &words, const std::string &line);
