--- a/modules/peerlink/PeerLinksMembership_test.cpp
+++ b/modules/peerlink/PeerLinksMembership_test.cpp
@@ -102,7 +102,7 @@
     LinkedMembers all(5);
     REQUIRE(all.runUntil([&] {
         return std::all_of(all.members.begin(), all.members.end(), [](const auto &member) {
-            return member->membership->reach().alive == 5;
+            return member->membership->reachability().alive == 5;
         });
     }));
     all.members[4]->membership->broadcast(
@@ -123,7 +123,7 @@
     LinkedMembers all(4);
     REQUIRE(all.runUntil([&] {
         return std::all_of(all.members.begin(), all.members.end(), [](const auto &member) {
-            return member->membership->reach().alive == 4;
+            return member->membership->reachability().alive == 4;
         });
     }));
     all.members[3]->links->stop();
