--- a/modules/instance/request/AnswerRelay.cpp
+++ b/modules/instance/request/AnswerRelay.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::string_view eventStreamType = "text/event-stream";
 
-/** Finds the last `"name": number` in a text without parsing the whole of it. */
+/** Finds the last `"name": number` in a text without parsing all of the text. */
 std::optional<std::uint64_t> lastNumber(std::string_view text, std::string_view name)
 {
     const auto at = text.rfind(name);
     if (at == std::string_view::npos)
         return std::nullopt;
     const auto digits = text.find_first_of("0123456789", at + name.size());
-    const auto between = text.substr(at + name.size(), digits - at - name.size());
+    const auto separator = text.substr(at + name.size(), digits - at - name.size());
     if (digits == std::string_view::npos
-        || between.find_first_not_of(": \t\r\n") != std::string_view::npos)
+        || separator.find_first_not_of(": \t\r\n") != std::string_view::npos)
         return std::nullopt;
     std::uint64_t value = 0;
     std::from_chars(text.data() + digits, text.data() + text.size(), value);
@@ -39,33 +39,33 @@
     status_ = head.status;
     head_ = std::move(head);
     const std::string *type = head_.find("Content-Type");
-    const bool isEvents =
+    const bool hasEventStreamType =
         type != nullptr && sameHeaderName(type->substr(0, eventStreamType.size()), eventStreamType);
     if (!hasStarted_)
-        isEventStream_ = status_ == 200 && isEvents;
+        isEventStream_ = status_ == 200 && hasEventStreamType;
 }
 
 bool AnswerRelay::onBody(std::string_view data)
 {
     if (isEventStream_) {
-        const bool isSane = events_.feed(data) && !isOutOfOrder_;
-        if (!outgoing_.empty()) {
+        const bool isValid = events_.feed(data) && !isOutOfOrder_;
+        if (!pendingOutput_.empty()) {
             if (!hasStarted_)
-                beginPassing();
-            exchange_->write(outgoing_);
-            outgoing_.clear();
+                startForwarding();
+            exchange_->write(pendingOutput_);
+            pendingOutput_.clear();
         }
-        return isSane;
+        return isValid;
     }
     if (hasStarted_) {
         exchange_->write(data);
         return true;
     }
-    held_ += data;
-    if (held_.size() > holdBytes) {
-        beginPassing();
-        exchange_->write(held_);
-        held_.clear();
+    buffered_ += data;
+    if (buffered_.size() > maxBufferedBytes) {
+        startForwarding();
+        exchange_->write(buffered_);
+        buffered_.clear();
     }
     return true;
 }
@@ -75,8 +75,9 @@
     if (isOutOfOrder_ || isDone_)
         return;
     if (event.number && guardEnabled(Guard::StreamOffsetChecked)) {
-        // After a resume the upstream may begin too early; what the caller has already got is
-        // passed over. A number left out means a lost part of the answer.
+        // After a resume, the upstream may start at an earlier event; events that the caller has
+        // already received are skipped. A gap in the numbers means that part of the response is
+        // lost.
         if (*event.number < nextEvent_)
             return;
         if (*event.number > nextEvent_) {
@@ -88,13 +89,13 @@
         ++nextEvent_;
     isDone_ = event.isDone();
     if (!isDone_ && !event.data.empty()) {
-        ++dataEvents_;
+        ++dataEventCount_;
         if (const auto output = lastNumber(event.data, "\"completion_tokens\"")) {
             outputTokens_ = output;
             promptTokens_ = lastNumber(event.data, "\"prompt_tokens\"");
         }
     }
-    outgoing_ += event.bytes;
+    pendingOutput_ += event.bytes;
 }
 
 bool AnswerRelay::onComplete()
@@ -112,10 +113,10 @@
     return headers;
 }
 
-void AnswerRelay::beginPassing()
+void AnswerRelay::startForwarding()
 {
     hasStarted_ = true;
-    isPassedThrough_ = true;
+    isUnbuffered_ = true;
     exchange_->beginStream(status_, callerHeaders());
 }
 
@@ -124,12 +125,12 @@
     if (hasStarted_)
         return exchange_->finish();
     hasStarted_ = true;
-    exchange_->respond(HttpResponse{status_, callerHeaders(), held_});
+    exchange_->respond(HttpResponse{status_, callerHeaders(), buffered_});
 }
 
 void AnswerRelay::discard()
 {
-    held_.clear();
+    buffered_.clear();
     events_.discardPartial();
     isOutOfOrder_ = false;
     nextEvent_ = 0;
@@ -161,9 +162,9 @@
 TokenCounts AnswerRelay::tokens() const
 {
     if (isEventStream_)
-        return TokenCounts{promptTokens_, outputTokens_.value_or(dataEvents_)};
-    return TokenCounts{lastNumber(held_, "\"prompt_tokens\""),
-                       lastNumber(held_, "\"completion_tokens\"").value_or(0)};
+        return TokenCounts{promptTokens_, outputTokens_.value_or(dataEventCount_)};
+    return TokenCounts{lastNumber(buffered_, "\"prompt_tokens\""),
+                       lastNumber(buffered_, "\"completion_tokens\"").value_or(0)};
 }
 
 } // namespace cuminrail
--- a/modules/instance/request/AnswerRelay.h
+++ b/modules/instance/request/AnswerRelay.h
@@ -12,7 +12,7 @@
 
 namespace cuminrail {
 
-/** Tokens as the upstream counted them, or as they were counted on the way. */
+/** Token counts reported by the upstream or, failing that, counted while relaying. */
 struct TokenCounts
 {
     std::optional<std::uint64_t> prompt;
@@ -20,75 +20,76 @@
 };
 
 /**
-    Passes an upstream's answer on to the caller, so that no part of one can look like a whole.
+    Relays an upstream's response to the caller so that a truncated response never looks complete.
 
-    A plain answer is held back until it is whole, or too large to hold: until then the request
-    can be run elsewhere without the caller noticing. A stream of events goes on event by event.
+    A plain response is buffered until it is complete or exceeds the buffer limit. Until then, the
+    request can be retried on another upstream without the caller noticing. An event stream is
+    forwarded event by event.
 */
 class AnswerRelay
 {
 public:
-    /** Plain answers up to this size are held back until they are whole. */
-    static constexpr std::size_t holdBytes = 1024 * 1024;
+    /** Plain responses up to this size are buffered until they are complete. */
+    static constexpr std::size_t maxBufferedBytes = 1024 * 1024;
 
     AnswerRelay(std::shared_ptr<HttpExchange> exchange, std::string requestId);
 
-    /** An upstream's answer begins. Events are expected from the number after the last one. */
+    /** Handles a response head. Events are expected to continue after the last one. */
     void onHead(HttpHead &head);
-    /** Takes bytes of the body. Returns false when they cannot be the right answer. */
+    /** Handles bytes of the body. Returns false when they cannot belong to a valid response. */
     bool onBody(std::string_view data);
-    /** The upstream's message is whole. Returns false if the answer in it is not. */
+    /** Handles the end of the upstream's message. Returns false if the response is incomplete. */
     bool onComplete();
 
-    /** Returns true when the caller has got a part of the answer. */
+    /** Returns true when part of the response has been sent to the caller. */
     bool hasStarted() const { return hasStarted_; }
     bool isEventStream() const { return isEventStream_; }
-    /** Returns true when the caller has got the stream's last event. */
+    /** Returns true when the stream's last event has been relayed. */
     bool isDone() const { return isDone_; }
-    /** Returns the number of the next event that the caller has to get. */
+    /** Returns the number of the next event to forward to the caller. */
     std::uint64_t nextEvent() const { return nextEvent_; }
     bool isCongested() const { return exchange_->isCongested(); }
 
-    /** Forgets an answer of which nothing was passed on. */
+    /** Discards a response of which nothing has been forwarded. */
     void discard();
-    /** Drops half an event before the stream is continued over another connection. */
+    /** Drops a partial event before the stream is resumed over another connection. */
     void prepareResume() { events_.discardPartial(); }
 
-    /** Passes on the whole answer that is held back. */
+    /** Sends the buffered response, or finishes a response that has started. */
     void respondHeld();
-    /** Answers with an error, or ends a started answer in a way that shows it is cut. */
+    /** Responds with an error, or ends a started response so that it is visibly truncated. */
     void fail(const Refusal &refusal);
 
-    /** Answers with an error, and goes on taking the upstream's answer for its record alone. */
+    /** Responds with an error, and keeps receiving the upstream's response only to record it. */
     void failAndRecord(const Refusal &refusal);
 
     int status() const { return status_; }
-    /** Returns the body held back; empty for streams. */
-    const std::string &heldBody() const { return held_; }
-    /** Returns false for an answer that was too large to hold back. */
-    bool isHeldWhole() const { return !isPassedThrough_; }
+    /** Returns the buffered body; empty for streams. */
+    const std::string &heldBody() const { return buffered_; }
+    /** Returns false for a response that is streamed or was too large to buffer. */
+    bool isHeldWhole() const { return !isUnbuffered_; }
     std::string contentType() const;
     TokenCounts tokens() const;
 
 private:
     std::vector<HttpHeader> callerHeaders() const;
     void onEvent(const SseEvent &event);
-    void beginPassing();
+    void startForwarding();
 
     std::shared_ptr<HttpExchange> exchange_;
     std::string requestId_;
     int status_ = 0;
     HttpHead head_;
-    std::string held_;
-    std::string outgoing_;
+    std::string buffered_;
+    std::string pendingOutput_;
     SseReader events_;
     bool hasStarted_ = false;
     bool isEventStream_ = false;
     bool isDone_ = false;
     bool isOutOfOrder_ = false;
-    bool isPassedThrough_ = false;
+    bool isUnbuffered_ = false;
     std::uint64_t nextEvent_ = 0;
-    std::uint64_t dataEvents_ = 0;
+    std::uint64_t dataEventCount_ = 0;
     std::optional<std::uint64_t> promptTokens_;
     std::optional<std::uint64_t> outputTokens_;
 };
--- a/modules/instance/request/CompletionBody.cpp
+++ b/modules/instance/request/CompletionBody.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-/** The fields that an instance reads, at the top of the body. */
+/** The top-level fields of the body that are parsed. */
 enum class Field : std::uint8_t {
     Other,
     Model,
@@ -62,7 +62,7 @@
     return "body";
 }
 
-/** Gets the JSON library's parse events; depth 1 is the body's own object. */
+/** Handles the JSON library's parse events; depth 1 is the top-level object. */
 class BodyReader final : public nlohmann::json_sax<Json>
 {
 public:
@@ -78,39 +78,39 @@
         const Field text = kind_ == CompletionKind::Chat ? Field::Messages : Field::Prompt;
         if (!has(text))
             return refuse(std::string(nameOf(text)), "is missing");
-        if (text == Field::Messages && messages_ == 0)
+        if (text == Field::Messages && messageCount_ == 0)
             return refuse("messages", "is empty");
         return true;
     }
 
-    // NOLINTBEGIN(readability-identifier-naming): the names are the JSON library's.
-    bool null() override { return scalar("null"); }
+    // NOLINTBEGIN(readability-identifier-naming): the JSON library defines these names.
+    bool null() override { return checkScalar("null"); }
     bool boolean(bool value) override
     {
         if (depth_ == 1 && field_ == Field::Stream) {
             body.isStream = value;
             return true;
         }
-        return scalar("a truth value");
+        return checkScalar("a truth value");
     }
     bool number_integer(number_integer_t value) override
     {
         if (depth_ == 1 && isTokenLimit())
             return refuse(std::string(nameOf(field_)), "must be above 0");
         static_cast<void>(value);
-        return scalar("a number");
+        return checkScalar("a number");
     }
     bool number_unsigned(number_unsigned_t value) override
     {
         if (depth_ == 1 && isTokenLimit())
-            return tokenLimit(value);
-        return scalar("a number");
+            return setTokenLimit(value);
+        return checkScalar("a number");
     }
     bool number_float(number_float_t, const string_t &) override
     {
         if (depth_ == 1 && isTokenLimit())
             return refuse(std::string(nameOf(field_)), "must be a whole number");
-        return scalar("a number");
+        return checkScalar("a number");
     }
     bool binary(binary_t &) override { return false; }
     bool string(string_t &value) override
@@ -123,16 +123,16 @@
             body.promptText += value;
             return true;
         }
-        return scalar("text");
+        return checkScalar("text");
     }
-    bool start_object(std::size_t) override { return open(Opened::Object); }
-    bool end_object() override { return close(); }
-    bool start_array(std::size_t) override { return open(Opened::Array); }
-    bool end_array() override { return close(); }
+    bool start_object(std::size_t) override { return openContainer(Container::Object); }
+    bool end_object() override { return closeContainer(); }
+    bool start_array(std::size_t) override { return openContainer(Container::Array); }
+    bool end_array() override { return closeContainer(); }
     bool key(string_t &name) override
     {
         if (depth_ == 1)
-            return topKey(name);
+            return handleTopLevelKey(name);
         if (depth_ == 3 && field_ == Field::Messages)
             messageKey_ = name;
         return true;
@@ -147,7 +147,7 @@
     // NOLINTEND(readability-identifier-naming)
 
 private:
-    enum class Opened : std::uint8_t { Object, Array };
+    enum class Container : std::uint8_t { Object, Array };
 
     bool refuse(std::string where, std::string what)
     {
@@ -169,7 +169,7 @@
         return field_ == Field::Messages && depth_ >= 3;
     }
 
-    bool topKey(const std::string &name)
+    bool handleTopLevelKey(const std::string &name)
     {
         field_ = fieldOf(name);
         if (field_ == Field::Other)
@@ -181,7 +181,7 @@
         return true;
     }
 
-    bool tokenLimit(std::uint64_t value)
+    bool setTokenLimit(std::uint64_t value)
     {
         if (value == 0 || value > std::numeric_limits<std::uint32_t>::max())
             return refuse(std::string(nameOf(field_)), "must be above 0 and below 2^32");
@@ -189,15 +189,15 @@
         return true;
     }
 
-    /** Takes a value that no field above wanted. */
-    bool scalar(const char *what)
+    /** Checks a scalar value that is not stored. */
+    bool checkScalar(const char *what)
     {
         if (depth_ == 0)
             return refuse("body", std::string("is ") + what + " instead of an object");
-        // A null stands for a field that is not given, except where one must be.
+        // A null counts as an absent field, except for fields that are required.
         const bool isNull = std::string_view(what) == "null";
-        const bool mayBeNull = field_ == Field::Stream || isTokenLimit();
-        if (depth_ == 1 && field_ != Field::Other && !(isNull && mayBeNull))
+        const bool isNullable = field_ == Field::Stream || isTokenLimit();
+        if (depth_ == 1 && field_ != Field::Other && !(isNull && isNullable))
             return refuse(std::string(nameOf(field_)), std::string("must not be ") + what);
         if (depth_ == 2 && field_ == Field::Messages)
             return refuse("messages", "must hold objects");
@@ -206,17 +206,17 @@
         return true;
     }
 
-    bool open(Opened opened)
+    bool openContainer(Container container)
     {
         if (++depth_ > maxJsonDepth)
             return refuse("body", "nests deeper than " + std::to_string(maxJsonDepth) + " levels");
-        const bool isObject = opened == Opened::Object;
+        const bool isObject = container == Container::Object;
         if (depth_ == 1)
             return isObject || refuse("body", "is an array instead of an object");
         if (depth_ == 2)
             return openField(isObject);
         if (depth_ == 3 && field_ == Field::Messages) {
-            ++messages_;
+            ++messageCount_;
             messageKey_.clear();
             return isObject || refuse("messages", "must hold objects");
         }
@@ -234,7 +234,7 @@
                       isObject ? "must not be an object" : "must not be an array");
     }
 
-    bool close()
+    bool closeContainer()
     {
         --depth_;
         return true;
@@ -242,7 +242,7 @@
 
     CompletionKind kind_;
     std::size_t depth_ = 0;
-    std::size_t messages_ = 0;
+    std::size_t messageCount_ = 0;
     Field field_ = Field::Other;
     std::string messageKey_;
     std::array<bool, static_cast<std::size_t>(Field::Count)> seen_{};
--- a/modules/instance/request/ErrorAnswer.cpp
+++ b/modules/instance/request/ErrorAnswer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-struct ErrorRow
+struct ErrorCodeEntry
 {
     ErrorCode code;
     int status;
@@ -16,7 +16,7 @@
     std::string_view type;
 };
 
-constexpr std::array<ErrorRow, 22> errorRows{{
+constexpr std::array<ErrorCodeEntry, 22> errorCodeTable{{
     {ErrorCode::InvalidRequest, 400, "invalid_request", "invalid_request_error"},
     {ErrorCode::IdempotencyKeyRequired, 400, "idempotency_key_required", "invalid_request_error"},
     {ErrorCode::InvalidKey, 401, "invalid_key", "authentication_error"},
@@ -41,13 +41,13 @@
     {ErrorCode::UpstreamTimeout, 504, "upstream_timeout", "server_error"},
 }};
 
-const ErrorRow &rowOf(ErrorCode code)
+const ErrorCodeEntry &entryOf(ErrorCode code)
 {
-    return errorRows[static_cast<std::size_t>(code)];
+    return errorCodeTable[static_cast<std::size_t>(code)];
 }
 
-/** Retry-After counts whole seconds; rounding down would call the caller back too early. */
-std::int64_t wholeSeconds(Millis span)
+/** Retry-After is in whole seconds; rounding down would make the caller retry too early. */
+std::int64_t roundUpToSeconds(Millis span)
 {
     return (span.count() + 999) / 1000;
 }
@@ -56,41 +56,42 @@
 
 std::string_view errorCodeName(ErrorCode code)
 {
-    return rowOf(code).name;
+    return entryOf(code).name;
 }
 
 int errorStatus(ErrorCode code)
 {
-    return rowOf(code).status;
+    return entryOf(code).status;
 }
 
 std::string errorBody(const Refusal &refusal)
 {
-    const ErrorRow &row = rowOf(refusal.code);
+    const ErrorCodeEntry &entry = entryOf(refusal.code);
     nlohmann::json error;
     error["message"] = refusal.message;
-    error["type"] = row.type;
-    error["code"] = row.name;
+    error["type"] = entry.type;
+    error["code"] = entry.name;
     error["param"] = refusal.param.empty() ? nlohmann::json() : nlohmann::json(refusal.param);
-    // Parts of a caller's bytes may be quoted in the message and need not be UTF-8.
+    // The message may quote bytes sent by the caller, which are not necessarily UTF-8.
     return nlohmann::json{{"error", error}}.dump(-1, ' ', false,
                                                  nlohmann::json::error_handler_t::replace);
 }
 
 HttpResponse errorAnswer(const Refusal &refusal, const std::string &requestId)
 {
-    HttpResponse answer;
-    answer.status = errorStatus(refusal.code);
-    answer.headers.push_back({"Content-Type", "application/json"});
-    answer.headers.push_back({"X-Request-Id", requestId});
-    answer.headers.push_back(
+    HttpResponse response;
+    response.status = errorStatus(refusal.code);
+    response.headers.push_back({"Content-Type", "application/json"});
+    response.headers.push_back({"X-Request-Id", requestId});
+    response.headers.push_back(
         {"X-Cuminrail-Verdict", std::string(verdictNames.name(refusal.verdict))});
     if (refusal.retryAfter > Millis(0))
-        answer.headers.push_back({"Retry-After", std::to_string(wholeSeconds(refusal.retryAfter))});
+        response.headers.push_back(
+            {"Retry-After", std::to_string(roundUpToSeconds(refusal.retryAfter))});
     if (refusal.code == ErrorCode::InvalidKey)
-        answer.headers.push_back({"WWW-Authenticate", "Bearer"});
-    answer.body = errorBody(refusal);
-    return answer;
+        response.headers.push_back({"WWW-Authenticate", "Bearer"});
+    response.body = errorBody(refusal);
+    return response;
 }
 
 } // namespace cuminrail
--- a/modules/instance/request/ErrorAnswer.h
+++ b/modules/instance/request/ErrorAnswer.h
@@ -10,7 +10,7 @@
 
 namespace cuminrail {
 
-/** The stable codes of docs/INTERFACES.md. */
+/** The stable error codes that docs/INTERFACES.md specifies. */
 enum class ErrorCode : std::uint8_t {
     InvalidRequest,
     IdempotencyKeyRequired,
@@ -36,27 +36,27 @@
     UpstreamTimeout,
 };
 
-/** Returns a code's name as it stands in the error body: "invalid_request". */
+/** Returns a code's name as written in the error body, e.g. "invalid_request". */
 std::string_view errorCodeName(ErrorCode code);
-/** Returns the HTTP status that goes with a code. */
+/** Returns the HTTP status of a code. */
 int errorStatus(ErrorCode code);
 
-/** A request that ends in an error. */
+/** The error that a request ends with. */
 struct Refusal
 {
     ErrorCode code = ErrorCode::InvalidRequest;
     std::string message;
-    /** The field or header at fault, or empty. */
+    /** The invalid field or header, or empty. */
     std::string param = {};
     Verdict verdict = Verdict::NotRun;
-    /** When coming back makes sense; zero for no such hint. */
+    /** Delay after which the caller should retry; zero for no Retry-After header. */
     Millis retryAfter{0};
 };
 
-/** Returns the error body in the customary shape. */
+/** Returns the JSON error body: message, type, code and param. */
 std::string errorBody(const Refusal &refusal);
 
-/** Returns the whole answer, with identity, verdict and Retry-After. */
+/** Returns the complete response, with request id, verdict and Retry-After headers. */
 HttpResponse errorAnswer(const Refusal &refusal, const std::string &requestId);
 
 } // namespace cuminrail
--- a/modules/instance/request/RequestHeaders.cpp
+++ b/modules/instance/request/RequestHeaders.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-constexpr std::size_t maxIdempotencyKey = 128;
+constexpr std::size_t maxIdempotencyKeyLength = 128;
 constexpr std::int64_t maxDeadlineMs = 24LL * 60 * 60 * 1000;
 
-constexpr std::array<std::string_view, 14> ownOrSecret{
+constexpr std::array<std::string_view, 14> reservedHeaders{
     "Authorization",  "Cookie",          "Cookie2",      "Host",
     "Content-Length", "X-Customer",      "X-Request-Id", "X-Priority",
     "X-Deadline-Ms",  "X-Api-Key",       "Api-Key",      "Forwarded",
     "X-Real-Ip",      "Idempotency-Key",
 };
 
-constexpr std::array<std::string_view, 3> ownPrefixes{"X-Cuminrail-", "X-Forwarded-", "Proxy-"};
+constexpr std::array<std::string_view, 3> reservedPrefixes{"X-Cuminrail-", "X-Forwarded-",
+                                                           "Proxy-"};
 
-/** Some servers take "X_Customer" for "X-Customer"; so both count as the same name here. */
+/** Treats '_' as '-', because some servers treat "X_Customer" as "X-Customer". */
 bool sameName(std::string_view left, std::string_view right)
 {
     if (left.find('_') == std::string_view::npos)
         return sameHeaderName(left, right);
-    std::string dashed(left);
-    std::replace(dashed.begin(), dashed.end(), '_', '-');
-    return sameHeaderName(dashed, right);
+    std::string normalized(left);
+    std::replace(normalized.begin(), normalized.end(), '_', '-');
+    return sameHeaderName(normalized, right);
 }
 
 template<typename Names>
@@ -37,11 +38,12 @@
                        [&](std::string_view other) { return sameName(name, other); });
 }
 
-bool hasOwnPrefix(std::string_view name)
+bool hasReservedPrefix(std::string_view name)
 {
-    return std::any_of(ownPrefixes.begin(), ownPrefixes.end(), [&](std::string_view prefix) {
-        return name.size() >= prefix.size() && sameName(name.substr(0, prefix.size()), prefix);
-    });
+    return std::any_of(
+        reservedPrefixes.begin(), reservedPrefixes.end(), [&](std::string_view prefix) {
+            return name.size() >= prefix.size() && sameName(name.substr(0, prefix.size()), prefix);
+        });
 }
 
 std::string percentDecoded(std::string_view text)
@@ -79,7 +81,7 @@
 
 std::optional<CallerWishes> readCallerWishes(const HttpHead &head, Refusal *refusal)
 {
-    CallerWishes wishes;
+    CallerWishes options;
     for (const std::string_view name : {"X-Deadline-Ms", "X-Priority", "Idempotency-Key"}) {
         if (head.count(name) > 1)
             return refuse(refusal, name, "is given twice");
@@ -90,60 +92,61 @@
         const auto parsed = std::from_chars(text->data(), end, value);
         if (parsed.ec != std::errc() || parsed.ptr != end || value <= 0 || value > maxDeadlineMs)
             return refuse(refusal, "X-Deadline-Ms", "must be 1 to 86400000 milliseconds");
-        wishes.deadline = Millis(value);
+        options.deadline = Millis(value);
     }
     if (const std::string *text = head.find("X-Priority")) {
-        wishes.priority = priorityNames.value(*text);
-        if (!wishes.priority)
+        options.priority = priorityNames.value(*text);
+        if (!options.priority)
             return refuse(refusal, "X-Priority", "must be interactive, standard or batch");
     }
     if (const std::string *text = head.find("Idempotency-Key")) {
-        if (text->empty() || text->size() > maxIdempotencyKey || !isPrintable(*text))
+        if (text->empty() || text->size() > maxIdempotencyKeyLength || !isPrintable(*text))
             return refuse(refusal, "Idempotency-Key", "must be 1 to 128 printable characters");
-        wishes.idempotencyKey = *text;
+        options.idempotencyKey = *text;
     }
-    return wishes;
+    return options;
 }
 
 std::vector<HttpHeader> headersForService(const HttpHead &head)
 {
-    const std::vector<std::string> named = connectionHeaderNames(head);
-    std::vector<HttpHeader> passed;
+    const std::vector<std::string> connectionHeaders = connectionHeaderNames(head);
+    std::vector<HttpHeader> forwarded;
     for (const HttpHeader &header : head.headers) {
-        const bool isKept = isHopHeader(header.name, named) || contains(ownOrSecret, header.name)
-            || hasOwnPrefix(header.name);
-        if (!isKept)
-            passed.push_back(header);
+        const bool isDropped = isHopHeader(header.name, connectionHeaders)
+            || contains(reservedHeaders, header.name) || hasReservedPrefix(header.name);
+        if (!isDropped)
+            forwarded.push_back(header);
     }
-    return passed;
+    return forwarded;
 }
 
 std::vector<HttpHeader> headersForCaller(const HttpHead &head)
 {
-    const std::vector<std::string> named = connectionHeaderNames(head);
-    std::vector<HttpHeader> passed;
+    const std::vector<std::string> connectionHeaders = connectionHeaderNames(head);
+    std::vector<HttpHeader> forwarded;
     for (const HttpHeader &header : head.headers) {
-        const bool isKept = isHopHeader(header.name, named) || hasOwnPrefix(header.name)
-            || sameName(header.name, "Content-Length") || sameName(header.name, "X-Request-Id")
-            || sameName(header.name, "X-Customer") || sameName(header.name, "X-Idempotent-Replay");
-        if (!isKept)
-            passed.push_back(header);
+        const bool isDropped = isHopHeader(header.name, connectionHeaders)
+            || hasReservedPrefix(header.name) || sameName(header.name, "Content-Length")
+            || sameName(header.name, "X-Request-Id") || sameName(header.name, "X-Customer")
+            || sameName(header.name, "X-Idempotent-Replay");
+        if (!isDropped)
+            forwarded.push_back(header);
     }
-    return passed;
+    return forwarded;
 }
 
 bool leaksKey(const HttpHead &head, std::string_view body, std::string_view key)
 {
-    const auto holds = [&](std::string_view text) {
+    const auto containsKey = [&](std::string_view text) {
         return text.find(key) != std::string_view::npos;
     };
-    if (holds(head.target) || holds(body))
+    if (containsKey(head.target) || containsKey(body))
         return true;
-    if (head.target.find('%') != std::string::npos && holds(percentDecoded(head.target)))
+    if (head.target.find('%') != std::string::npos && containsKey(percentDecoded(head.target)))
         return true;
     return std::any_of(head.headers.begin(), head.headers.end(), [&](const HttpHeader &header) {
         return !sameHeaderName(header.name, "Authorization")
-            && (holds(header.value) || holds(header.name));
+            && (containsKey(header.value) || containsKey(header.name));
     });
 }
 
--- a/modules/instance/request/RequestHeaders.h
+++ b/modules/instance/request/RequestHeaders.h
@@ -13,7 +13,7 @@
 
 namespace cuminrail {
 
-/** What callers say in headers of their own accord. */
+/** Options that a caller may set with request headers. */
 struct CallerWishes
 {
     std::optional<Millis> deadline;
@@ -22,22 +22,22 @@
     std::string idempotencyKey;
 };
 
-/** Reads X-Deadline-Ms, X-Priority and Idempotency-Key. Returns nothing with a refusal. */
+/** Parses X-Deadline-Ms, X-Priority and Idempotency-Key; on error, sets the refusal. */
 std::optional<CallerWishes> readCallerWishes(const HttpHead &head, Refusal *refusal);
 
 /**
-    Returns the caller's headers that may go on to a plain service.
+    Returns the caller's headers that may be forwarded to a plain service.
 
-    Left out are hop-by-hop headers and those that Connection names, whatever could hold the
-    caller's key, and every name that the instance itself gives meaning to: a caller could
-    otherwise pass for another customer.
+    Omits hop-by-hop headers, headers listed in Connection, headers that could contain the caller's
+    key, and all headers that the instance sets or interprets itself: otherwise a caller could
+    impersonate another customer.
 */
 std::vector<HttpHeader> headersForService(const HttpHead &head);
 
-/** Returns a service's or engine's answer headers that may go on to the caller. */
+/** Returns the response headers of a service or engine that may be forwarded to the caller. */
 std::vector<HttpHeader> headersForCaller(const HttpHead &head);
 
-/** Returns true if the caller's key stands anywhere it would be passed on or logged. */
+/** Returns true if the caller's key occurs where it would be forwarded or logged. */
 bool leaksKey(const HttpHead &head, std::string_view body, std::string_view key);
 
 } // namespace cuminrail
--- a/modules/instance/request/RequestPlan.cpp
+++ b/modules/instance/request/RequestPlan.cpp
@@ -15,8 +15,8 @@
 constexpr std::string_view chatPath = "/v1/chat/completions";
 constexpr std::string_view textPath = "/v1/completions";
 constexpr std::string_view modelsPath = "/v1/models";
-/** Shorter keys would be found in ordinary text by chance. */
-constexpr std::size_t shortestSearchedKey = 8;
+/** Keys shorter than this are not searched for, as they could occur in text by chance. */
+constexpr std::size_t minSearchedKeyLength = 8;
 
 std::nullopt_t refuse(Refusal *refusal, ErrorCode code, std::string message, std::string param = {})
 {
@@ -26,7 +26,7 @@
     return std::nullopt;
 }
 
-std::uint32_t tokensOf(std::size_t bytes)
+std::uint32_t estimateTokens(std::size_t bytes)
 {
     const std::size_t tokens = bytes / bytesPerToken + 1;
     return static_cast<std::uint32_t>(
@@ -34,17 +34,19 @@
 }
 
 /**
-    Returns false for a path that a service could read as another one than the instance does.
+    Returns false for a path that a service could interpret differently than the instance does.
 
-    "status/../lodgings" would be matched as a repeatable call here and lodge at the service.
+    For example, "status/../bookings" would match a route of repeatable calls here, but create a
+    booking at the service.
 */
-bool isPlainPath(std::string_view path)
+bool isNormalizedPath(std::string_view path)
 {
     std::string lower(path);
     std::transform(lower.begin(), lower.end(), lower.begin(),
                    [](unsigned char c) { return static_cast<char>(std::tolower(c)); });
-    for (const char *odd : {"//", "/./", "/../", "\\", "%2e", "%2f", "%5c", "%00", "#", ";"}) {
-        if (lower.find(odd) != std::string::npos)
+    for (const char *ambiguous :
+         {"//", "/./", "/../", "\\", "%2e", "%2f", "%5c", "%00", "#", ";"}) {
+        if (lower.find(ambiguous) != std::string::npos)
             return false;
     }
     const auto endsWith = [&](std::string_view end) {
@@ -54,19 +56,19 @@
     return !endsWith("/.") && !endsWith("/..");
 }
 
-/** Takes over deadline, priority and Idempotency-Key. */
-bool applyWishes(const HttpHead &head, const ServingSnapshot &snapshot, Millis now,
-                 RequestPlan &plan, Refusal *refusal)
+/** Sets the plan's deadline, priority and idempotency key from the caller's headers. */
+bool applyCallerOptions(const HttpHead &head, const ServingSnapshot &snapshot, Millis now,
+                        RequestPlan &plan, Refusal *refusal)
 {
-    const auto wishes = readCallerWishes(head, refusal);
-    if (!wishes)
+    const auto options = readCallerWishes(head, refusal);
+    if (!options)
         return false;
-    if (wishes->deadline)
-        plan.deadline = now + *wishes->deadline;
-    // A customer may rank its own request lower than it is entitled to, never higher.
-    const Priority own = snapshot.routing.priorityOf(plan.caller.index);
-    plan.priority = std::max(own, wishes->priority.value_or(own));
-    plan.idempotencyKey = wishes->idempotencyKey;
+    if (options->deadline)
+        plan.deadline = now + *options->deadline;
+    // A customer may lower the priority of its own request, but never raise it.
+    const Priority customerPriority = snapshot.routing.priorityOf(plan.caller.index);
+    plan.priority = std::max(customerPriority, options->priority.value_or(customerPriority));
+    plan.idempotencyKey = options->idempotencyKey;
     return true;
 }
 
@@ -108,7 +110,7 @@
     if (!findModel(completion->model, snapshot, plan, refusal))
         return std::nullopt;
     const ModelRules &rules = snapshot.models[plan.pool];
-    plan.promptTokens = tokensOf(completion->promptText.size());
+    plan.promptTokens = estimateTokens(completion->promptText.size());
     if (rules.maxPromptTokens > 0 && plan.promptTokens > rules.maxPromptTokens)
         return refuse(refusal, ErrorCode::TooLarge, "the prompt is over the model's limit");
     const bool isLimited =
@@ -124,7 +126,7 @@
 std::optional<RequestPlan> planService(RequestPlan plan, const HttpHead &head,
                                        const ServingSnapshot &snapshot, Refusal *refusal)
 {
-    if (!isPlainPath(head.path()))
+    if (!isNormalizedPath(head.path()))
         return refuse(refusal, ErrorCode::InvalidRequest, "the path is not in its plain form");
     const auto route = snapshot.routing.findService(head.method, head.path());
     if (!route)
@@ -188,14 +190,14 @@
     if (!caller)
         return std::nullopt;
     const std::string_view key = *bearerToken(*head.find("Authorization"), nullptr);
-    if (key.size() >= shortestSearchedKey && leaksKey(head, body, key))
+    if (key.size() >= minSearchedKeyLength && leaksKey(head, body, key))
         return refuse(refusal, ErrorCode::InvalidRequest,
                       "the key may stand in the Authorization header alone");
     RequestPlan plan;
     plan.caller = std::move(*caller);
     plan.team = snapshot.teams[snapshot.routing.teamOf(plan.caller.index)];
     plan.startedAt = now;
-    if (!applyWishes(head, snapshot, now, plan, refusal))
+    if (!applyCallerOptions(head, snapshot, now, plan, refusal))
         return std::nullopt;
     const std::string_view path = head.path();
     if (path == chatPath)
--- a/modules/instance/request/RequestPlan.h
+++ b/modules/instance/request/RequestPlan.h
@@ -14,13 +14,13 @@
 
 enum class RequestKind : std::uint8_t {
     Completion,
-    /** A call of a plain service. */
+    /** A call to a plain service. */
     Service,
-    /** GET /v1/models, answered from settings. */
+    /** GET /v1/models, served from the settings. */
     ModelList,
 };
 
-/** A caller that has shown a valid key. */
+/** An authenticated caller. */
 struct Caller
 {
     KeyHash key;
@@ -28,7 +28,7 @@
     CustomerIndex index = noIndex;
 };
 
-/** What is known of a request once its head and body have been read and found in order. */
+/** The properties of a request whose head and body have been parsed and validated. */
 struct RequestPlan
 {
     RequestKind kind = RequestKind::Completion;
@@ -37,33 +37,33 @@
     PoolIndex pool = noIndex;
     AdapterIndex adapter = noIndex;
     Priority priority = Priority::Standard;
-    /** When the answer is of no use any more. */
+    /** The moment after which the response is of no use to the caller. */
     Millis deadline = Millis::never();
     Millis startedAt;
     bool isStream = false;
-    /** Running it twice does no harm. */
+    /** True if the request may safely run more than once. */
     bool isIdempotent = true;
     std::string idempotencyKey;
     std::uint32_t promptTokens = 0;
     std::uint32_t maxOutputTokens = 0;
     PrefixChain prefixes;
-    /** Of a service: the most that a run may take. */
+    /** For a service call: the maximum duration of one run. */
     Millis serviceTimeout;
-    /** What the upstream is asked for: method, path and query. */
+    /** Request target sent to the upstream: path and query. */
     std::string upstreamTarget;
 };
 
-/** Finds the customer of a request's key. Returns nothing with a refusal that quotes no key. */
+/** Finds the customer of a request's key. On failure, sets a refusal that quotes no key. */
 std::optional<Caller> authenticate(const HttpHead &head, const ServingSnapshot &snapshot,
                                    Refusal *refusal);
 
-/** Returns false once a caller's key has been withdrawn, for requests that had to wait. */
+/** Returns false once a caller's key has been revoked; checked for requests that waited. */
 bool isKeyStillValid(const Caller &caller, const ServingSnapshot &snapshot);
 
 /**
-    Reads and checks the whole request: nothing of it goes further unless this returns a plan.
+    Parses and validates the whole request; nothing of it is forwarded unless a plan is returned.
 
-    @param now  the instant that deadlines count from
+    @param now  the start time that deadlines are relative to
 */
 std::optional<RequestPlan> planRequest(const HttpHead &head, const std::string &body,
                                        const ServingSnapshot &snapshot, Millis now,
--- a/modules/instance/request/RequestWorker.cpp
+++ b/modules/instance/request/RequestWorker.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** One decision in this many is logged with its reasons. */
-constexpr std::uint64_t decisionSample = 1000;
+/** One in this many routing decisions is logged with its reasons. */
+constexpr std::uint64_t decisionSampleInterval = 1000;
 
 HttpServerLimits serverLimits(const InstanceConfig &config)
 {
@@ -28,14 +28,14 @@
     return limits;
 }
 
-std::string hex(std::uint64_t value)
+std::string toHex(std::uint64_t value)
 {
     std::array<char, 17> text{};
     std::snprintf(text.data(), text.size(), "%016llx", static_cast<unsigned long long>(value));
     return text.data();
 }
 
-ErrorCode codeOfProblem(int status)
+ErrorCode errorCodeForStatus(int status)
 {
     switch (status) {
     case 408:
@@ -54,7 +54,7 @@
 RequestWorker::RequestWorker(ServingContext &context, AdmissionDesk &admission,
                              std::shared_ptr<ServerLoad> load, std::uint64_t seed)
     : context_(context), admission_(admission), thread_(context.config.deadlineTick),
-      random_(seededRandom(seed)), idPrefix_(hex(random_())),
+      random_(seededRandom(seed)), idPrefix_(toHex(random_())),
       pool_(thread_.io(), thread_.deadlines()),
       server_(thread_.io(), thread_.deadlines(), serverLimits(context.config), serverHooks(),
               std::move(load))
@@ -96,9 +96,9 @@
 HttpServerHooks RequestWorker::serverHooks()
 {
     HttpServerHooks hooks;
-    hooks.onHead = [this](const HttpHead &head) { return judgeHead(head); };
+    hooks.onHead = [this](const HttpHead &head) { return checkHead(head); };
     hooks.onProblem = [this](int status, const Reason &reason) {
-        return problemAnswer(status, reason);
+        return protocolErrorResponse(status, reason);
     };
     hooks.onRequest = [this](const std::shared_ptr<HttpExchange> &exchange) {
         const auto flow = std::make_shared<RequestFlow>(*this, exchange);
@@ -108,34 +108,35 @@
     return hooks;
 }
 
-std::optional<HttpResponse> RequestWorker::judgeHead(const HttpHead &head)
+std::optional<HttpResponse> RequestWorker::checkHead(const HttpHead &head)
 {
     Refusal refusal;
     {
         const RcuReadScope scope;
-        // A caller without a valid key does not get to fill memory with a body.
+        // Checked before the body is received, so that unauthenticated callers cannot use up
+        // memory with bodies.
         if (!authenticate(head, context_.snapshot.get(scope), &refusal))
-            return refused(refusal);
+            return rejectRequest(refusal);
     }
     if (context_.isStale.load(std::memory_order_relaxed))
-        return refused({ErrorCode::StaleConfiguration,
-                        "this instance does not know how current its keys are",
-                        {},
-                        Verdict::NotRun,
-                        Millis::seconds(5)});
+        return rejectRequest({ErrorCode::StaleConfiguration,
+                              "this instance does not know how current its keys are",
+                              {},
+                              Verdict::NotRun,
+                              Millis::seconds(5)});
     return std::nullopt;
 }
 
-HttpResponse RequestWorker::problemAnswer(int status, const Reason &reason)
+HttpResponse RequestWorker::protocolErrorResponse(int status, const Reason &reason)
 {
-    return refused({codeOfProblem(status),
-                    reason.toString(),
-                    {},
-                    Verdict::NotRun,
-                    status == 503 ? Millis::seconds(1) : Millis(0)});
+    return rejectRequest({errorCodeForStatus(status),
+                          reason.toString(),
+                          {},
+                          Verdict::NotRun,
+                          status == 503 ? Millis::seconds(1) : Millis(0)});
 }
 
-HttpResponse RequestWorker::refused(const Refusal &refusal)
+HttpResponse RequestWorker::rejectRequest(const Refusal &refusal)
 {
     const std::string id = nextRequestId();
     RequestCounters::add(counters_.errors[static_cast<std::size_t>(refusal.code)]);
@@ -146,7 +147,7 @@
 void RequestWorker::sampleDecision(const RoutingRequest &request, const RoutingChoice &choice,
                                    const RoutingTable &table)
 {
-    if (decisions_++ % decisionSample == 0)
+    if (decisionCount_++ % decisionSampleInterval == 0)
         context_.events(explainChoice(request, choice, table));
 }
 
--- a/modules/instance/request/RequestWorker.h
+++ b/modules/instance/request/RequestWorker.h
@@ -19,9 +19,9 @@
 class RequestFlow;
 
 /**
-    One request thread: its event loop, its server on the shared port, its upstream connections.
+    A request thread with its event loop, server on the shared port and upstream connections.
 
-    A request stays on the thread that read it.
+    A request stays on the thread that received it.
 */
 class RequestWorker
 {
@@ -32,28 +32,28 @@
     RequestWorker(const RequestWorker &) = delete;
     RequestWorker &operator=(const RequestWorker &) = delete;
 
-    /** Listens, before start(). */
+    /** Opens the listening socket. Must be called before start(). */
     bool listen(const ListenAddress &address, const TlsFiles *tls, Reason *lastReason);
     std::uint16_t port() const { return server_.port(); }
     void start();
-    /** Ends the thread; what is still in progress is cut. */
+    /** Stops the thread; requests still in progress are aborted. */
     void stop();
 
-    /** Safe from any thread. */
+    /** Runs a function on the worker's thread without waiting. Thread-safe. */
     void post(std::function<void()> function) { thread_.post(std::move(function)); }
     /** Runs a function on the worker's thread and waits for it. */
     void run(const std::function<void()> &function) { thread_.run(function); }
 
-    // On the worker's thread alone:
+    // Only on the worker's thread:
     HttpServer &server() { return server_; }
     UpstreamPool &pool() { return pool_; }
     DeadlineList &deadlines() { return thread_.deadlines(); }
     const RandomHook &random() const { return random_; }
     std::string nextRequestId();
-    /** Keeps a request's flow alive until it is over. */
+    /** Keeps a request's flow alive until release(). */
     void keep(const std::shared_ptr<RequestFlow> &flow) { flows_.insert(flow); }
     void release(const std::shared_ptr<RequestFlow> &flow) { flows_.erase(flow); }
-    /** Logs one routing decision in many. */
+    /** Logs a sample of the routing decisions. */
     void sampleDecision(const RoutingRequest &request, const RoutingChoice &choice,
                         const RoutingTable &table);
     void reportRefusal(const std::string &requestId, const CustomerId &customer,
@@ -65,9 +65,9 @@
 
 private:
     HttpServerHooks serverHooks();
-    std::optional<HttpResponse> judgeHead(const HttpHead &head);
-    HttpResponse problemAnswer(int status, const Reason &reason);
-    HttpResponse refused(const Refusal &refusal);
+    std::optional<HttpResponse> checkHead(const HttpHead &head);
+    HttpResponse protocolErrorResponse(int status, const Reason &reason);
+    HttpResponse rejectRequest(const Refusal &refusal);
 
     ServingContext &context_;
     AdmissionDesk &admission_;
@@ -76,7 +76,7 @@
     RandomHook random_;
     std::string idPrefix_;
     std::uint64_t lastId_ = 0;
-    std::uint64_t decisions_ = 0;
+    std::uint64_t decisionCount_ = 0;
     UpstreamPool pool_;
     HttpServer server_;
     std::unordered_set<std::shared_ptr<RequestFlow>> flows_;
--- a/modules/instance/request/UpstreamWire.cpp
+++ b/modules/instance/request/UpstreamWire.cpp
@@ -6,27 +6,27 @@
 
 namespace {
 
-constexpr std::size_t usualHeadBytes = 512;
+constexpr std::size_t typicalHeadBytes = 512;
 
-std::string beginWire(const std::string &method, const std::string &target,
-                      const std::string &address, std::size_t bodyBytes)
+std::string startRequest(const std::string &method, const std::string &target,
+                         const std::string &address, std::size_t bodyBytes)
 {
-    std::string wire;
-    wire.reserve(usualHeadBytes + target.size() + bodyBytes);
-    wire += method;
-    wire += ' ';
-    wire += target;
-    wire += " HTTP/1.1\r\n";
-    appendHeader(wire, "Host", address);
-    return wire;
+    std::string request;
+    request.reserve(typicalHeadBytes + target.size() + bodyBytes);
+    request += method;
+    request += ' ';
+    request += target;
+    request += " HTTP/1.1\r\n";
+    appendHeader(request, "Host", address);
+    return request;
 }
 
-/** The customer is named by the instance alone, from the key; what the caller says is left out. */
-void appendIdentity(std::string &wire, const RequestPlan &plan, const std::string &attemptId)
+/** Sets the customer found from the key; a customer header sent by the caller is ignored. */
+void appendIdentity(std::string &request, const RequestPlan &plan, const std::string &attemptId)
 {
-    appendHeader(wire, "X-Request-Id", attemptId);
-    appendHeader(wire, "X-Customer", plan.caller.id.text());
-    appendHeader(wire, "X-Priority", priorityNames.name(plan.priority));
+    appendHeader(request, "X-Request-Id", attemptId);
+    appendHeader(request, "X-Customer", plan.caller.id.text());
+    appendHeader(request, "X-Priority", priorityNames.name(plan.priority));
 }
 
 } // namespace
@@ -34,49 +34,49 @@
 std::string completionWire(const RequestPlan &plan, const std::string &attemptId,
                            const std::string &address, const std::string &body)
 {
-    std::string wire = beginWire("POST", plan.upstreamTarget, address, body.size());
-    appendIdentity(wire, plan, attemptId);
-    appendHeader(wire, "Content-Type", "application/json");
-    appendHeader(wire, "Content-Length", std::to_string(body.size()));
-    wire += "\r\n";
-    wire += body;
-    return wire;
+    std::string request = startRequest("POST", plan.upstreamTarget, address, body.size());
+    appendIdentity(request, plan, attemptId);
+    appendHeader(request, "Content-Type", "application/json");
+    appendHeader(request, "Content-Length", std::to_string(body.size()));
+    request += "\r\n";
+    request += body;
+    return request;
 }
 
 std::string serviceWire(const RequestPlan &plan, const HttpHead &head, const std::string &attemptId,
                         const std::string &address, const std::string &body)
 {
-    std::string wire = beginWire(head.method, plan.upstreamTarget, address, body.size());
-    appendIdentity(wire, plan, attemptId);
+    std::string request = startRequest(head.method, plan.upstreamTarget, address, body.size());
+    appendIdentity(request, plan, attemptId);
     if (!plan.idempotencyKey.empty())
-        appendHeader(wire, "Idempotency-Key", plan.idempotencyKey);
+        appendHeader(request, "Idempotency-Key", plan.idempotencyKey);
     for (const HttpHeader &header : headersForService(head))
-        appendHeader(wire, header.name, header.value);
-    const bool isUsuallyBodiless = head.method == "GET" || head.method == "HEAD";
-    if (!body.empty() || !isUsuallyBodiless)
-        appendHeader(wire, "Content-Length", std::to_string(body.size()));
-    wire += "\r\n";
-    wire += body;
-    return wire;
+        appendHeader(request, header.name, header.value);
+    const bool mayOmitLength = head.method == "GET" || head.method == "HEAD";
+    if (!body.empty() || !mayOmitLength)
+        appendHeader(request, "Content-Length", std::to_string(body.size()));
+    request += "\r\n";
+    request += body;
+    return request;
 }
 
 std::string resumeWire(const RequestPlan &plan, const std::string &attemptId,
                        const std::string &address, std::uint64_t nextEvent)
 {
-    std::string wire = beginWire(
+    std::string request = startRequest(
         "GET", "/v1/requests/" + attemptId + "?offset=" + std::to_string(nextEvent), address, 0);
-    appendIdentity(wire, plan, attemptId);
-    wire += "\r\n";
-    return wire;
+    appendIdentity(request, plan, attemptId);
+    request += "\r\n";
+    return request;
 }
 
 std::string cancelWire(const RequestPlan &plan, const std::string &attemptId,
                        const std::string &address)
 {
-    std::string wire = beginWire("DELETE", "/v1/requests/" + attemptId, address, 0);
-    appendIdentity(wire, plan, attemptId);
-    wire += "Content-Length: 0\r\n\r\n";
-    return wire;
+    std::string request = startRequest("DELETE", "/v1/requests/" + attemptId, address, 0);
+    appendIdentity(request, plan, attemptId);
+    request += "Content-Length: 0\r\n\r\n";
+    return request;
 }
 
 } // namespace cuminrail
