--- a/modules/instance/request/RequestFlow.cpp
+++ b/modules/instance/request/RequestFlow.cpp
@@ -17,16 +17,16 @@
 
 constexpr std::uint32_t maxResumes = 2;
 constexpr Millis retryAfterFailure = Millis::seconds(1);
-/** A claim that cannot be decided within this time is refused, so that the caller can go on. */
-constexpr Millis claimWait = Millis::seconds(5);
+/** Time-out of a claim decision. The request is refused then, so that the caller can proceed. */
+constexpr Millis claimTimeout = Millis::seconds(5);
 
-/** Returns true for an answer by which an engine says that it did not start. */
+/** Returns true for a status by which an engine signals that it did not start the request. */
 bool isRefusalBeforeRunning(int status)
 {
     return status == 429 || status == 503;
 }
 
-ErrorCode codeOf(RefusalCode code)
+ErrorCode errorCodeFor(RefusalCode code)
 {
     switch (code) {
     case RefusalCode::RateLimited:
@@ -41,7 +41,7 @@
     return ErrorCode::Overloaded;
 }
 
-std::string_view messageOf(RefusalCode code)
+std::string_view errorMessageFor(RefusalCode code)
 {
     switch (code) {
     case RefusalCode::RateLimited:
@@ -151,13 +151,13 @@
             list["data"].push_back(
                 {{"id", model.text()}, {"object", "model"}, {"owned_by", "cuminrail"}});
     }
-    HttpResponse answer;
-    answer.headers = {{"Content-Type", "application/json"},
-                      {"X-Request-Id", requestId_},
-                      {"X-Cuminrail-Verdict", std::string(verdictNames.name(Verdict::Ran))}};
-    answer.body = list.dump();
+    HttpResponse httpResponse;
+    httpResponse.headers = {{"Content-Type", "application/json"},
+                            {"X-Request-Id", requestId_},
+                            {"X-Cuminrail-Verdict", std::string(verdictNames.name(Verdict::Ran))}};
+    httpResponse.body = list.dump();
     RequestCounters::add(worker_.counters().answered);
-    exchange_->respond(answer);
+    exchange_->respond(httpResponse);
     endFlow();
 }
 
@@ -173,7 +173,7 @@
     const HttpHead &head = exchange_->head();
     request.requestSha256 =
         KeyHash::of(head.method + "\n" + head.target + "\n" + exchange_->body()).toHex();
-    request.deadline = std::min(plan_.deadline, now() + claimWait);
+    request.deadline = std::min(plan_.deadline, now() + claimTimeout);
     claims.begin(request, claimCompletion());
 }
 
@@ -183,8 +183,8 @@
         worker.post([&worker, flow, result] {
             if (const auto self = flow.lock())
                 return self->onClaim(result);
-            // Nobody waits for the call any more and it was never sent: say so in the claim, or
-            // the caller's repeat would be told that it may have run.
+            // The flow has ended and the call was never sent. Without this outcome in the claim, a
+            // duplicate from the caller would be answered with "may have run".
             if (result.decision == ClaimDecision::Run)
                 worker.context().claims.finish(result.token, ClaimOutcome{Verdict::NotRun, {}});
         });
@@ -202,24 +202,25 @@
     admit();
 }
 
-void RequestFlow::replay(const StoredResponse &answer)
+void RequestFlow::replay(const StoredResponse &storedResponse)
 {
-    HttpResponse whole;
-    whole.status = static_cast<int>(answer.status);
-    if (!answer.contentType.empty())
-        whole.headers.push_back({"Content-Type", answer.contentType});
-    whole.headers.push_back({"X-Request-Id", requestId_});
-    whole.headers.push_back({"X-Cuminrail-Verdict", std::string(verdictNames.name(Verdict::Ran))});
-    whole.headers.push_back({"X-Idempotent-Replay", "true"});
-    whole.body = answer.body;
+    HttpResponse httpResponse;
+    httpResponse.status = static_cast<int>(storedResponse.status);
+    if (!storedResponse.contentType.empty())
+        httpResponse.headers.push_back({"Content-Type", storedResponse.contentType});
+    httpResponse.headers.push_back({"X-Request-Id", requestId_});
+    httpResponse.headers.push_back(
+        {"X-Cuminrail-Verdict", std::string(verdictNames.name(Verdict::Ran))});
+    httpResponse.headers.push_back({"X-Idempotent-Replay", "true"});
+    httpResponse.body = storedResponse.body;
     RequestCounters::add(worker_.counters().answered);
-    exchange_->respond(whole);
+    exchange_->respond(httpResponse);
     endFlow();
 }
 
 void RequestFlow::admit()
 {
-    stage_ = Stage::Waiting;
+    stage_ = Stage::Queued;
     AdmissionRequest request;
     request.customer = plan_.caller.index;
     request.pool = plan_.pool;
@@ -244,13 +245,16 @@
 
 void RequestFlow::onAdmission(const AdmissionEnd &end)
 {
-    if (stage_ != Stage::Waiting)
+    if (stage_ != Stage::Queued)
         return;
     if (end.isAdmitted)
         return dispatch();
     admissionTicket_ = 0;
-    refuse(
-        {codeOf(end.code), std::string(messageOf(end.code)), {}, Verdict::NotRun, end.retryAfter});
+    refuse({errorCodeFor(end.code),
+            std::string(errorMessageFor(end.code)),
+            {},
+            Verdict::NotRun,
+            end.retryAfter});
 }
 
 RoutingRequest RequestFlow::routingRequest(const ServingSnapshot &snapshot) const
@@ -276,7 +280,7 @@
     stage_ = Stage::Running;
     const RcuReadScope scope;
     const ServingSnapshot &snapshot = worker_.context().snapshot.get(scope);
-    // The key may have been withdrawn while the request waited for its turn.
+    // The key may have been withdrawn while the request was queued.
     if (!isKeyStillValid(plan_.caller, snapshot))
         return refuse({ErrorCode::InvalidKey, "a valid key is needed", "Authorization", verdict_});
     const RoutingRequest request = routingRequest(snapshot);
@@ -324,8 +328,9 @@
     request.wire = serviceWire(plan_, exchange_->head(), attemptId_, address, exchange_->body());
     request.isEchoRequired = false;
     request.isHead = exchange_->head().method == "HEAD";
-    // An idle connection that the service is just closing would break after the first byte, and
-    // the call could not be sent again. A new connection costs a round trip and avoids that.
+    // If the service is closing an idle pooled connection at this moment, the connection breaks
+    // after the first byte was sent, and a call that is not idempotent cannot be retried. A fresh
+    // connection avoids this at the cost of one round trip.
     request.needsFreshConnection = !plan_.isIdempotent;
     request.timeouts.firstByte = plan_.serviceTimeout;
     return request;
@@ -340,7 +345,7 @@
     };
     hooks.onBody = [flow = weak_from_this()](std::string_view data) {
         if (const auto self = flow.lock())
-            self->onAnswerBody(data);
+            self->onResponseBody(data);
     };
     hooks.onEnd = [flow = weak_from_this()](const UpstreamEnd &end) {
         if (const auto self = flow.lock())
@@ -349,7 +354,7 @@
     return hooks;
 }
 
-void RequestFlow::onAnswerBody(std::string_view data)
+void RequestFlow::onResponseBody(std::string_view data)
 {
     const auto self = shared_from_this();
     if (!hasFirstByte_) {
@@ -359,43 +364,43 @@
         if (admissionTicket_ != 0)
             worker_.admission().firstToken(admissionTicket_, now());
     }
-    const bool isSane = relay_.onBody(data);
-    if (!isSane) {
+    const bool isValid = relay_.onBody(data);
+    if (!isValid) {
         cancelAtEngine();
         releaseRoute(UpstreamOutcome::Failure);
         verdict_ = Verdict::MayHaveRun;
         return onFailedAttempt({Verdict::MayHaveRun, {"answer", "events out of order"}},
                                UpstreamEndKind::Malformed);
     }
-    if (!relay_.isCongested() || isPaused_ || isCallerGone_)
+    if (!relay_.isCongested() || isPaused_ || isResponseUnwanted_)
         return;
-    // The caller reads slower than the upstream writes. What it has not taken stays with the
-    // upstream, not in this process.
+    // Backpressure: the caller reads slower than the upstream writes. Pausing leaves the unread
+    // data with the upstream instead of buffering it in this process.
     isPaused_ = true;
     call_.pause();
     exchange_->onWritable([flow = weak_from_this()] {
-        if (const auto owner = flow.lock()) {
-            owner->isPaused_ = false;
-            owner->call_.resume();
+        if (const auto lockedFlow = flow.lock()) {
+            lockedFlow->isPaused_ = false;
+            lockedFlow->call_.resume();
         }
     });
 }
 
 void RequestFlow::onAttemptEnd(const UpstreamEnd &end)
 {
-    if (stage_ == Stage::Over)
+    if (stage_ == Stage::Ended)
         return;
     if (end.verdict != Verdict::NotRun)
         verdict_ = Verdict::MayHaveRun;
     if (end.kind == UpstreamEndKind::Complete)
-        return onWholeAnswer();
+        return onCompleteResponse();
     releaseRoute(UpstreamOutcome::Failure);
     if (relay_.isDone())
         return finish();
     onFailedAttempt({end.verdict, end.lastReason}, end.kind);
 }
 
-void RequestFlow::onWholeAnswer()
+void RequestFlow::onCompleteResponse()
 {
     const int status = relay_.status();
     const bool isCompletion = plan_.kind == RequestKind::Completion;
@@ -428,8 +433,8 @@
     traits.responseStarted = relay_.hasStarted();
     traits.deadline = plan_.deadline;
     traits.attemptsMade = attempts_;
-    const bool wantsAnswer = !isCallerGone_;
-    if (wantsAnswer
+    const bool isResponseWanted = !isResponseUnwanted_;
+    if (isResponseWanted
         && decideRetry(traits, outcome, now(), worker_.context().retryBudget)
             == RetryDecision::Retry) {
         if (outcome.verdict != Verdict::NotRun)
@@ -454,7 +459,7 @@
 
 bool RequestFlow::tryResume()
 {
-    if (isCallerGone_ || resumes_ >= maxResumes || relay_.nextEvent() == 0)
+    if (isResponseUnwanted_ || resumes_ >= maxResumes || relay_.nextEvent() == 0)
         return false;
     ++resumes_;
     RequestCounters::add(worker_.counters().resumes);
@@ -464,7 +469,7 @@
     request.address = address_;
     request.requestId = attemptId_;
     request.wire = resumeWire(plan_, attemptId_, address_, relay_.nextEvent());
-    // Whatever broke the stream may have broken the pool's other connections to this engine.
+    // The cause of the interruption may also affect the pooled connections to this engine.
     request.needsFreshConnection = true;
     request.timeouts.connect = config.connectTimeout;
     request.timeouts.firstByte = config.upstreamStallTimeout;
@@ -494,8 +499,8 @@
     call_.cancel();
     if (plan_.kind != RequestKind::Completion)
         return;
-    // Closing the connection alone leaves it to the engine to notice. Until then the request
-    // would hold a slot and produce tokens for nobody.
+    // An explicit cancel, because an engine may be slow to detect a closed connection. Until then
+    // the request would occupy a slot and generate tokens that are discarded.
     UpstreamRequest request;
     request.address = address_;
     request.requestId = attemptId_;
@@ -516,12 +521,12 @@
 void RequestFlow::onCallerDisconnected()
 {
     const auto self = shared_from_this();
-    isCallerGone_ = true;
+    isResponseUnwanted_ = true;
     RequestCounters::add(worker_.counters().callersLeft);
-    if (stage_ == Stage::Over)
+    if (stage_ == Stage::Ended)
         return;
-    // What may not be repeated is not cut off midway either: its claim needs a known end, so that
-    // the caller's repeat gets the answer instead of "may have run".
+    // A running call that is not idempotent is not cancelled: its claim needs a definite outcome,
+    // so that a duplicate from the caller gets the stored response instead of "may have run".
     if (!plan_.isIdempotent && stage_ == Stage::Running) {
         call_.resume();
         return;
@@ -538,7 +543,7 @@
 void RequestFlow::onDeadline()
 {
     const auto self = shared_from_this();
-    if (stage_ == Stage::Over || relay_.hasStarted())
+    if (stage_ == Stage::Ended || relay_.hasStarted())
         return;
     if (stage_ != Stage::Running)
         return refuse({ErrorCode::DeadlineUnreachable,
@@ -550,8 +555,9 @@
         verdict_ = Verdict::MayHaveRun;
     const Refusal refusal{ErrorCode::UpstreamTimeout, "no answer by the deadline", {}, verdict_};
     if (!plan_.isIdempotent) {
-        // The caller is told now; the run goes on to a known end for its claim.
-        isCallerGone_ = true;
+        // The caller gets the error now. The call continues, so that its claim gets a definite
+        // outcome.
+        isResponseUnwanted_ = true;
         return relay_.failAndRecord(refusal);
     }
     cancelAtEngine();
@@ -561,19 +567,19 @@
 
 void RequestFlow::failAfterAttempts(const Refusal &refusal)
 {
-    Refusal told = refusal;
-    told.verdict = verdict_;
+    Refusal reported = refusal;
+    reported.verdict = verdict_;
     const bool mayHaveRun = verdict_ != Verdict::NotRun;
-    if (mayHaveRun && errorStatus(told.code) == 503) {
-        told.code = ErrorCode::UpstreamFailed;
-        told.message = "the connection to the upstream broke after the request had been sent";
-        told.retryAfter = Millis(0);
+    if (mayHaveRun && errorStatus(reported.code) == 503) {
+        reported.code = ErrorCode::UpstreamFailed;
+        reported.message = "the connection to the upstream broke after the request had been sent";
+        reported.retryAfter = Millis(0);
     }
-    if (!mayHaveRun && told.code == ErrorCode::UpstreamTimeout) {
-        told.code = ErrorCode::NoUpstream;
-        told.retryAfter = retryAfterFailure;
+    if (!mayHaveRun && reported.code == ErrorCode::UpstreamTimeout) {
+        reported.code = ErrorCode::NoUpstream;
+        reported.retryAfter = retryAfterFailure;
     }
-    refuse(told);
+    refuse(reported);
 }
 
 void RequestFlow::refuse(const Refusal &refusal)
--- a/modules/instance/request/RequestFlow.h
+++ b/modules/instance/request/RequestFlow.h
@@ -18,11 +18,12 @@
 class RequestWorker;
 
 /**
-    One request from its last byte to the end of its answer: read and check, claim where it must
-    run at most once, wait for admission, choose an upstream, send, and by the verdict of each
-    attempt answer, send elsewhere, continue a broken stream or fail.
+    State machine of one request, from its complete reception to the end of its response: parses
+    and validates the request, claims its idempotency key if it must run at most once, waits for
+    admission, selects an upstream and sends. Depending on the verdict of each attempt it then
+    responds, retries at another upstream, resumes an interrupted stream or fails.
 
-    Lives on one request thread, whose worker keeps it until it is over.
+    Confined to one request thread. Its worker holds a reference until the flow has ended.
 */
 class RequestFlow : public std::enable_shared_from_this<RequestFlow>
 {
@@ -35,14 +36,14 @@
     void start();
 
 private:
-    enum class Stage : std::uint8_t { Planning, Claiming, Waiting, Running, Over };
+    enum class Stage : std::uint8_t { Planning, Claiming, Queued, Running, Ended };
 
     bool makePlan();
     void listModels();
     void claim();
     ClaimManager::Completion claimCompletion();
     void onClaim(const ClaimResult &result);
-    void replay(const StoredResponse &answer);
+    void replay(const StoredResponse &storedResponse);
     void admit();
     void onAdmission(const AdmissionEnd &end);
     void dispatch();
@@ -50,9 +51,9 @@
     void startAttempt(const std::string &address);
     UpstreamRequest upstreamRequest(const std::string &address) const;
     UpstreamHooks attemptHooks();
-    void onAnswerBody(std::string_view data);
+    void onResponseBody(std::string_view data);
     void onAttemptEnd(const UpstreamEnd &end);
-    void onWholeAnswer();
+    void onCompleteResponse();
     void onFailedAttempt(const AttemptOutcome &outcome, UpstreamEndKind kind);
     bool tryResume();
     void onResumeHead(HttpHead &head);
@@ -84,10 +85,11 @@
     UpstreamCall call_;
     std::uint32_t attempts_ = 0;
     std::uint32_t resumes_ = 0;
-    /** Over all attempts: once one may have run, the request may have run. */
+    /** Verdict over all attempts: if any attempt may have run, the request may have run. */
     Verdict verdict_ = Verdict::NotRun;
     bool hasFirstByte_ = false;
-    bool isCallerGone_ = false;
+    /** True once the caller has disconnected or got an error response at its deadline. */
+    bool isResponseUnwanted_ = false;
     bool isPaused_ = false;
     Deadline deadline_;
 };
--- a/modules/instance/request/RequestFlowEnd.cpp
+++ b/modules/instance/request/RequestFlowEnd.cpp
@@ -5,7 +5,7 @@
 
 void RequestFlow::finish()
 {
-    if (stage_ == Stage::Over)
+    if (stage_ == Stage::Ended)
         return;
     if (verdict_ == Verdict::Ran || relay_.isDone()) {
         RequestCounters::add(worker_.counters().answered);
@@ -26,7 +26,7 @@
 void RequestFlow::endFlow()
 {
     const auto self = shared_from_this();
-    stage_ = Stage::Over;
+    stage_ = Stage::Ended;
     deadline_.clear();
     call_ = UpstreamCall();
     worker_.release(self);
