--- a/modules/instance/request/RequestFlow_test.cpp
+++ b/modules/instance/request/RequestFlow_test.cpp
@@ -12,21 +12,21 @@
 
 using Connection = ScriptedUpstream::Connection;
 
-std::size_t countOf(const std::vector<ReceivedRequest> &requests, const std::string &start)
+std::size_t countWithPrefix(const std::vector<ReceivedRequest> &requests, const std::string &prefix)
 {
     return static_cast<std::size_t>(
         std::count_if(requests.begin(), requests.end(),
-                      [&](const ReceivedRequest &each) { return each.startsWith(start); }));
+                      [&](const ReceivedRequest &request) { return request.startsWith(prefix); }));
 }
 
-/** Returns an answer that lacks its last bytes. */
-std::string halfAnswer(const std::string &id)
+/** Returns a response that lacks its last 5 bytes. */
+std::string truncatedResponse(const std::string &id)
 {
-    const std::string whole = plainResponse(id, "{\"text\":\"half\"}");
-    return whole.substr(0, whole.size() - 5);
+    const std::string complete = plainResponse(id, "{\"text\":\"half\"}");
+    return complete.substr(0, complete.size() - 5);
 }
 
-/** Claims in memory, decided at once: the platform's store as a test needs it. */
+/** In-memory substitute for the platform's claim store, which decides claims synchronously. */
 class MemoryClaims
 {
 public:
@@ -44,7 +44,7 @@
         return hooks;
     }
 
-    /** Waits until the run of a claim has ended. */
+    /** Waits until the claim has an outcome. */
     ClaimOutcome waitForOutcome(const std::string &token)
     {
         std::unique_lock<std::mutex> lock(mutex_);
@@ -99,7 +99,7 @@
     CHECK(usage[1].customer == CustomerId("north"));
 }
 
-TEST_CASE("requests sent ahead on one connection are answered in order")
+TEST_CASE("pipelined requests are answered in order")
 {
     ScriptedUpstream engine(engineScript);
     RunningInstance running(testSettings({engine.address()}, {}));
@@ -112,9 +112,9 @@
     CHECK_FALSE(contains(models, "\"secret\""));
 }
 
-// A caller sends headers that only the instance may set, to pass for another customer or to
-// smuggle its key along. If they went on, a chamber could read another's cached papers.
-TEST_CASE("neither key nor internal headers of a caller reach an upstream")
+// A caller sends headers that only the instance may set, to impersonate another customer or to
+// pass its key on. If they were forwarded, one customer could read cached data of another.
+TEST_CASE("keys and internal headers sent by a caller do not reach an upstream")
 {
     ScriptedUpstream engine(engineScript);
     ScriptedUpstream service(serviceScript);
@@ -143,8 +143,8 @@
     CHECK_FALSE(contains(running.log(), northKey));
 }
 
-// A key is withdrawn while its caller holds a connection open. Checked once per connection, the
-// caller could go on for as long as it does not hang up.
+// If keys were checked once per connection only, a caller whose key is withdrawn could continue on
+// an open connection.
 TEST_CASE("a withdrawn key stops working on open connections")
 {
     ScriptedUpstream engine(engineScript);
@@ -160,8 +160,8 @@
     CHECK(engine.received().size() == 1);
 }
 
-// Another instance reports a key withdrawn before the settings that say so have arrived here.
-TEST_CASE("a key reported withdrawn stops working ahead of the settings")
+// Another instance announces the withdrawal of a key before the settings with it arrive here.
+TEST_CASE("a key announced as withdrawn stops working before the settings arrive")
 {
     ScriptedUpstream engine(engineScript);
     RunningInstance running(testSettings({engine.address()}, {}));
@@ -172,7 +172,7 @@
     CHECK(engine.received().empty());
 }
 
-TEST_CASE("requests are refused while it is not known which keys are withdrawn")
+TEST_CASE("requests are refused while the set of withdrawn keys may be stale")
 {
     ScriptedUpstream engine(engineScript);
     RunningInstance running(testSettings({engine.address()}, {}));
@@ -182,11 +182,11 @@
     CHECK(engine.received().empty());
 }
 
-// An engine dies in the middle of a stream. The caller must get the rest from where it stopped,
-// each event once, or must be able to tell that the answer is cut.
-TEST_CASE("a broken stream is continued by identity and offset")
+// An engine fails in the middle of a stream. The caller must get the remaining events, each exactly
+// once, or must be able to detect that the response is truncated.
+TEST_CASE("an interrupted stream is resumed by request id and offset")
 {
-    std::atomic<int> breaks{0};
+    std::atomic<int> interruptions{0};
     ScriptedUpstream engine([&](Connection &connection) {
         for (;;) {
             const ReceivedRequest request = connection.read();
@@ -196,13 +196,13 @@
             if (request.startsWith("POST")) {
                 connection.socket.send(streamHead(id) + chunk(event(0, "one"))
                                        + chunk("id: 1\ndata: tw"));
-                ++breaks;
+                ++interruptions;
                 return;
             }
             if (request.startsWith("GET /v1/requests/" + id + "?offset=1 ")) {
-                // It begins too early, and breaks once more.
+                // The resumed stream starts one event too early and is interrupted again.
                 connection.socket.send(streamHead(id) + chunk(event(0, "one") + event(1, "two")));
-                ++breaks;
+                ++interruptions;
                 return;
             }
             connection.socket.send(streamHead(id) + chunk(event(2, "three") + event(3, "[DONE]"))
@@ -210,16 +210,16 @@
         }
     });
     RunningInstance running(testSettings({engine.address()}, {}));
-    const std::string answer = running.ask(completion(streamBody));
-    CHECK(unchunked(answer)
+    const std::string response = running.ask(completion(streamBody));
+    CHECK(unchunked(response)
           == event(0, "one") + event(1, "two") + event(2, "three") + event(3, "[DONE]"));
-    CHECK(breaks == 2);
-    CHECK(countOf(engine.received(), "POST") == 1);
+    CHECK(interruptions == 2);
+    CHECK(countWithPrefix(engine.received(), "POST") == 1);
 }
 
-// The engine does not know the stream any more, sends it with a gap, or stays silent. Half an
-// exhibit summary must not look like a whole one.
-TEST_CASE("a stream that cannot be continued ends visibly")
+// The engine no longer knows the stream, skips events, does not respond or ends the stream early.
+// A truncated response must not look like a complete one.
+TEST_CASE("a stream that cannot be resumed ends with an error event")
 {
     enum class Kind { Unknown, Gap, Silent, EndsEarly };
     for (const Kind kind : {Kind::Unknown, Kind::Gap, Kind::Silent, Kind::EndsEarly}) {
@@ -245,19 +245,19 @@
         RunningInstance running(testSettings({engine.address()}, {}), config);
         TestSocket socket = running.connect();
         socket.send(completion(streamBody));
-        const std::string answer = socket.readToEnd();
-        CHECK(contains(answer, "data: one"));
-        CHECK(contains(answer, "data: {\"error\":"));
-        CHECK_FALSE(contains(answer, "four"));
-        CHECK_FALSE(contains(answer, "[DONE]"));
-        CHECK_FALSE(contains(answer, "\r\n0\r\n\r\n"));
+        const std::string response = socket.readToEnd();
+        CHECK(contains(response, "data: one"));
+        CHECK(contains(response, "data: {\"error\":"));
+        CHECK_FALSE(contains(response, "four"));
+        CHECK_FALSE(contains(response, "[DONE]"));
+        CHECK_FALSE(contains(response, "\r\n0\r\n\r\n"));
         CHECK(running.waitForUsage(1).at(0).outputTokens == 1);
     }
 }
 
-// An engine fails in one of many ways before a byte of its answer went on. A completion can be run
-// again; the caller should not notice.
-TEST_CASE("a completion that failed unseen is run at another engine")
+// An engine fails in one of several ways before any byte of its response was forwarded. A
+// completion can be run again, so the retry must be transparent to the caller.
+TEST_CASE("a completion that fails before its response started is retried at another engine")
 {
     struct Row
     {
@@ -272,12 +272,12 @@
              connection.read();
              connection.socket.reset();
          }},
-        {"half an answer",
+        {"truncated response",
          [](Connection &connection) {
              const std::string id = connection.read().header("X-Request-Id");
-             connection.socket.send(halfAnswer(id));
+             connection.socket.send(truncatedResponse(id));
          }},
-        {"another request's answer",
+        {"response of another request",
          [](Connection &connection) {
              connection.read();
              connection.socket.send(plainResponse("someone-else", "{\"text\":\"secret\"}"));
@@ -293,7 +293,7 @@
              const std::string id = connection.read().header("X-Request-Id");
              connection.socket.send(plainResponse(id, "{}", "503 Service Unavailable"));
          }},
-        {"silent for good",
+        {"never responds",
          [](Connection &connection) {
              connection.read();
              connection.read();
@@ -307,46 +307,49 @@
                 return row.script(connection);
             engineScript(connection);
         };
-        ScriptedUpstream one(script);
-        ScriptedUpstream other(script);
+        ScriptedUpstream firstUpstream(script);
+        ScriptedUpstream secondUpstream(script);
         InstanceConfig config = testConfig();
         config.firstByteTimeout = Millis(40);
-        RunningInstance running(testSettings({one.address(), other.address()}, {}), config);
-        const std::string answer = running.ask(completion());
-        CAPTURE(answer);
-        CHECK(contains(answer, "\"text\":\"whole\""));
-        CHECK_FALSE(contains(answer, "secret"));
-        CHECK(one.received().size() + other.received().size() >= 1);
+        RunningInstance running(
+            testSettings({firstUpstream.address(), secondUpstream.address()}, {}), config);
+        const std::string response = running.ask(completion());
+        CAPTURE(response);
+        CHECK(contains(response, "\"text\":\"whole\""));
+        CHECK_FALSE(contains(response, "secret"));
+        CHECK(firstUpstream.received().size() + secondUpstream.received().size() >= 1);
     }
 }
 
-// Every engine is down. The first attempt may have run, the next ones provably did not. Judged by
-// the last attempt alone the caller would be told "not run", which is not true.
-TEST_CASE("not-run is said only if no attempt may have run")
+// All engines fail. The first attempt may have run, the next ones provably did not. A verdict taken
+// from the last attempt alone would wrongly be "not-run".
+TEST_CASE("the verdict is not-run only if no attempt may have run")
 {
-    ScriptedUpstream breaks([](Connection &connection) { connection.read(); });
+    ScriptedUpstream failingEngine([](Connection &connection) { connection.read(); });
     const std::vector<std::string> rows[] = {
         {closedAddress(), closedAddress()},
-        {breaks.address(), breaks.address()},
-        {breaks.address(), closedAddress(), closedAddress()},
+        {failingEngine.address(), failingEngine.address()},
+        {failingEngine.address(), closedAddress(), closedAddress()},
     };
     for (const auto &engines : rows) {
         CAPTURE(engines.size());
         RunningInstance running(testSettings(engines, {}));
-        // The order of attempts is random; one with a broken engine in it counts as such.
-        const std::size_t before = breaks.received().size();
-        const std::string answer = running.ask(completion());
-        CAPTURE(answer);
-        const bool reached = breaks.received().size() > before;
-        CHECK(contains(answer, reached ? "HTTP/1.1 502 " : "HTTP/1.1 503 "));
-        CHECK(contains(
-            answer, std::string("X-Cuminrail-Verdict: ") + (reached ? "may-have-run" : "not-run")));
+        // The order of attempts is random, so the expected verdict depends on whether one of them
+        // reached the failing engine.
+        const std::size_t before = failingEngine.received().size();
+        const std::string response = running.ask(completion());
+        CAPTURE(response);
+        const bool reached = failingEngine.received().size() > before;
+        CHECK(contains(response, reached ? "HTTP/1.1 502 " : "HTTP/1.1 503 "));
+        CHECK(contains(response,
+                       std::string("X-Cuminrail-Verdict: ")
+                           + (reached ? "may-have-run" : "not-run")));
     }
 }
 
-// The connection to the registry breaks while an invoice is on its way. Sent again it would bill
-// the client twice, so it is sent once and its caller is told the truth.
-TEST_CASE("a call that may not be repeated is sent once")
+// The connection to a service breaks during a call that is not idempotent. A retry could execute it
+// twice, for example bill a client twice, so it is sent once and its verdict must be correct.
+TEST_CASE("a call that is not idempotent is sent once")
 {
     struct Row
     {
@@ -357,13 +360,13 @@
     const Row rows[] = {
         {"closes after the request", [](Connection &connection) { connection.read(); },
          "may-have-run"},
-        {"half an answer",
+        {"truncated response",
          [](Connection &connection) {
              const std::string id = connection.read().header("X-Request-Id");
-             connection.socket.send(halfAnswer(id));
+             connection.socket.send(truncatedResponse(id));
          },
          "may-have-run"},
-        {"another request's answer",
+        {"response of another request",
          [](Connection &connection) {
              connection.read();
              connection.socket.send(plainResponse("someone-else", "{}"));
@@ -374,33 +377,34 @@
     };
     for (const Row &row : rows) {
         CAPTURE(row.name);
-        ScriptedUpstream one(row.script);
-        ScriptedUpstream other(row.script);
-        RunningInstance running(testSettings({}, {one.address(), other.address()}));
-        const std::string answer =
+        ScriptedUpstream firstUpstream(row.script);
+        ScriptedUpstream secondUpstream(row.script);
+        RunningInstance running(
+            testSettings({}, {firstUpstream.address(), secondUpstream.address()}));
+        const std::string response =
             running.ask(request("POST", "/services/lodging/notes", northKey, "{}"));
-        CAPTURE(answer);
-        CHECK(contains(answer, std::string("X-Cuminrail-Verdict: ") + row.verdict));
-        CHECK(one.received().size() + other.received().size() == 1);
+        CAPTURE(response);
+        CHECK(contains(response, std::string("X-Cuminrail-Verdict: ") + row.verdict));
+        CHECK(firstUpstream.received().size() + secondUpstream.received().size() == 1);
     }
 }
 
-TEST_CASE("a call that provably did not reach its service is sent to another one")
+TEST_CASE("a call that provably did not reach its service is retried at another one")
 {
     ScriptedUpstream service(serviceScript);
     RunningInstance running(
         testSettings({}, {closedAddress(), service.address(), closedAddress()}));
     for (int i = 0; i < 6; ++i) {
-        const std::string answer =
+        const std::string response =
             running.ask(request("POST", "/services/lodging/notes", northKey, "{}"));
-        CHECK(contains(answer, "\"lodged\":true"));
+        CHECK(contains(response, "\"lodged\":true"));
     }
     CHECK(service.received().size() == 6);
 }
 
-// A paralegal's client repeats a lodging after a timeout. The first one may have arrived: the
-// repeat must get its stored answer, and never a second run.
-TEST_CASE("a repeated lodging gets the stored answer")
+// A caller repeats a lodging after a time-out. The first call may have arrived: the duplicate must
+// get the stored response and must never run a second time.
+TEST_CASE("a duplicate lodging gets the stored response")
 {
     MemoryClaims claims;
     ScriptedUpstream service(serviceScript);
@@ -415,15 +419,15 @@
     CHECK(service.received()[0].header("Idempotency-Key") == "k-1");
 }
 
-// The caller hangs up while its lodging runs. Cut off there, nobody would know whether the bundle
-// was lodged; run to its end, the repeat gets the answer.
-TEST_CASE("a lodging whose caller left runs to its known end")
+// The caller disconnects while its lodging runs. If the call were cancelled, its outcome would be
+// unknown. It runs to completion instead, so that a duplicate gets the stored response.
+TEST_CASE("a lodging whose caller disconnected runs to completion")
 {
     MemoryClaims claims;
-    Signal callerLeft;
+    Signal callerDisconnected;
     ScriptedUpstream service([&](Connection &connection) {
         const std::string id = connection.read().header("X-Request-Id");
-        callerLeft.wait();
+        callerDisconnected.wait();
         connection.socket.send(plainResponse(id, "{\"lodged\":true}"));
         connection.read();
     });
@@ -432,9 +436,9 @@
     socket.send(lodging("k-1"));
     REQUIRE(service.waitForRequests(1));
     socket.close();
-    // The hang-up is seen in the metrics before the service answers.
+    // The service responds only after the metrics show the disconnect.
     while (!contains(running.admin("GET", "/metrics"), "cuminrail_callers_left_total 1")) { }
-    callerLeft.set();
+    callerDisconnected.set();
     const ClaimOutcome outcome = claims.waitForOutcome("claim-1");
     CHECK(outcome.verdict == Verdict::Ran);
     CHECK(outcome.response.body == "{\"lodged\":true}");
@@ -442,9 +446,9 @@
     CHECK(service.received().size() == 1);
 }
 
-// A lodging answers after the caller's own deadline. The caller has been told so and has sent its
-// next request over the same connection: the late answer must not be taken for that one's.
-TEST_CASE("an answer after the deadline does not reach the next request")
+// A service responds after the caller's deadline. By then the caller got an error and sent its next
+// request on the same connection: the late response must not be delivered for that request.
+TEST_CASE("a response after the deadline is not delivered to the next request")
 {
     MemoryClaims claims;
     Signal nextSent;
@@ -478,9 +482,9 @@
     CHECK_FALSE(contains(second, "late"));
 }
 
-// A copyist closes the window while a long answer is being written. The engine would go on
-// producing tokens for nobody, and the customer's slot would stay taken.
-TEST_CASE("an answer that nobody waits for is cancelled at the engine and counted")
+// A caller disconnects during a long stream. Without a cancel the engine would continue to generate
+// tokens that are discarded, and the customer's slot would stay occupied.
+TEST_CASE("a stream whose caller disconnected is cancelled at the engine and its usage is counted")
 {
     ScriptedUpstream engine([](Connection &connection) {
         const ReceivedRequest request = connection.read();
@@ -503,13 +507,13 @@
     CHECK(running.waitForUsage(1).at(0).outputTokens == 2);
 }
 
-// A caller asks for a long stream and does not read it. What the engine writes would pile up in
-// the instance until it runs out of memory, and take everybody's requests with it.
-TEST_CASE("a slow reader makes the engine wait")
+// A caller requests a long stream and does not read it. Without backpressure the data from the
+// engine would accumulate in the instance until it runs out of memory and all requests fail.
+TEST_CASE("a slow reader causes backpressure on the engine")
 {
-    std::atomic<std::size_t> written{0};
-    constexpr std::size_t enough = 64 * 1024 * 1024;
-    Signal stuck;
+    std::atomic<std::size_t> writtenBytes{0};
+    constexpr std::size_t writeLimit = 64 * 1024 * 1024;
+    Signal writeBlocked;
     ScriptedUpstream engine([&](Connection &connection) {
         const ReceivedRequest request = connection.read();
         const std::string id = request.header("X-Request-Id");
@@ -518,23 +522,23 @@
         connection.socket.setTimeout(1);
         connection.socket.send(streamHead(id));
         std::uint64_t number = 0;
-        while (written < enough
+        while (writtenBytes < writeLimit
                && connection.socket.send(chunk(event(number, std::string(16000, 'x'))))) {
             ++number;
-            written += 16000;
+            writtenBytes += 16000;
         }
-        stuck.set();
+        writeBlocked.set();
     });
     InstanceConfig config = testConfig();
     config.writeStallTimeout = Millis::seconds(30);
     RunningInstance running(testSettings({engine.address()}, {}), config);
     TestSocket socket = running.connect(4096);
     socket.send(completion(streamBody));
-    REQUIRE(stuck.wait());
-    CHECK(written < enough);
+    REQUIRE(writeBlocked.wait());
+    CHECK(writtenBytes < writeLimit);
 }
 
-TEST_CASE("a caller that takes no byte for too long is given up")
+TEST_CASE("a caller that reads nothing for the write time-out is disconnected")
 {
     ScriptedUpstream engine([&](Connection &connection) {
         const ReceivedRequest request = connection.read();
