--- a/modules/instance/services/BudgetService.cpp
+++ b/modules/instance/services/BudgetService.cpp
@@ -10,17 +10,17 @@
 
 namespace {
 
-constexpr Millis pollPeriod{100};
+constexpr Millis pollInterval{100};
 
-/** Puts the channel before a ledger's message, which does not know of channels. */
-std::string withChannel(const std::string &message)
+/** Prepends the frame channel to a message of the ledger, which has no channel of its own. */
+std::string encodeBudgetFrame(const std::string &message)
 {
     const std::vector<std::uint8_t> bytes(message.begin(), message.end());
     return encodeCbor(nlohmann::json::array(
         {static_cast<int>(FrameChannel::Budgets), nlohmann::json::binary(bytes)}));
 }
 
-std::optional<std::string> withoutChannel(const std::string &frame)
+std::optional<std::string> decodeBudgetFrame(const std::string &frame)
 {
     const auto json = decodeCbor(frame);
     if (!json)
@@ -39,28 +39,28 @@
                              MemberService &members, const PeerTransport &peers,
                              Incarnation incarnation)
     : control_(control), admission_(admission), members_(members),
-      ledger_(control.context().config.instanceId, incarnation, BudgetOptions(), hooksFor(peers),
+      ledger_(control.context().config.instanceId, incarnation, BudgetOptions(), makeHooks(peers),
               seededRandom(std::random_device()()))
 {
     members_.setFrameHook(
         FrameChannel::Budgets, [this](const PeerAddress &, const std::string &frame) {
-            const auto message = withoutChannel(frame);
+            const auto message = decodeBudgetFrame(frame);
             if (message)
                 ledger_.handleFrame(*message, control_.thread().deadlines().now());
         });
-    members_.addChangeHook([this] { membersChanged(); });
-    control_.addTick(pollPeriod, [this](Millis now) { ledger_.poll(now); });
+    members_.addChangeHook([this] { updateMembers(); });
+    control_.addTick(pollInterval, [this](Millis now) { ledger_.poll(now); });
     control_.addState("budgets", [this] { return nlohmann::json{{"loans", ledger_.loanCount()}}; });
 }
 
-BudgetHooks BudgetService::hooksFor(const PeerTransport &peers)
+BudgetHooks BudgetService::makeHooks(const PeerTransport &peers)
 {
     const auto now = [this] { return control_.thread().deadlines().now(); };
     BudgetHooks hooks;
     hooks.send = [this, peers](const InstanceId &to, const std::string &frame) {
         const PeerAddress address = members_.addressOf(to);
         if (!address.empty())
-            peers.send(address, withChannel(frame));
+            peers.send(address, encodeBudgetFrame(frame));
     };
     hooks.use = [this, now](CustomerIndex customer) {
         CustomerUse use;
@@ -74,12 +74,12 @@
             controller.setLocalShare(customer, share, now());
         });
     };
-    hooks.takeCredit = [this, now](CustomerIndex customer, const LocalShare &wanted) {
-        LocalShare taken;
+    hooks.takeCredit = [this, now](CustomerIndex customer, const LocalShare &requestedCredit) {
+        LocalShare takenCredit;
         admission_.withController([&](AdmissionController &controller) {
-            taken = controller.takeCredit(customer, wanted, now());
+            takenCredit = controller.takeCredit(customer, requestedCredit, now());
         });
-        return taken;
+        return takenCredit;
     };
     hooks.addCredit = [this, now](CustomerIndex customer, const LocalShare &credit) {
         admission_.addCredit(customer, credit, now());
@@ -90,13 +90,13 @@
 void BudgetService::configure(const Settings &settings)
 {
     StableIndexes &indexes = control_.builder().indexes();
-    const AdmissionSettings rows =
+    const AdmissionSettings admissionSettings =
         buildAdmissionSettings(settings, indexes.customers, indexes.pools);
-    ledger_.setCustomers(rows.customers, control_.thread().deadlines().now());
-    membersChanged();
+    ledger_.setCustomers(admissionSettings.customers, control_.thread().deadlines().now());
+    updateMembers();
 }
 
-void BudgetService::membersChanged()
+void BudgetService::updateMembers()
 {
     ledger_.setMembers(members_.usableIds(), control_.thread().deadlines().now());
     control_.setInstanceCount(members_.usable().size());
--- a/modules/instance/services/BudgetService.h
+++ b/modules/instance/services/BudgetService.h
@@ -8,7 +8,8 @@
 namespace cuminrail {
 
 /**
-    Customers' limits over all instances: parts are lent between instances to where the demand is.
+    Applies customers' limits across all instances: instances lend parts of a limit to each other
+    according to demand.
 
     @see BudgetLedger
 */
@@ -20,12 +21,12 @@
     BudgetService(const BudgetService &) = delete;
     BudgetService &operator=(const BudgetService &) = delete;
 
-    /** Takes the customers of newer settings. */
+    /** Applies the customers of new settings. */
     void configure(const Settings &settings);
 
 private:
-    BudgetHooks hooksFor(const PeerTransport &peers);
-    void membersChanged();
+    BudgetHooks makeHooks(const PeerTransport &peers);
+    void updateMembers();
 
     ControlPlane &control_;
     AdmissionDesk &admission_;
--- a/modules/instance/services/ClaimService.h
+++ b/modules/instance/services/ClaimService.h
@@ -7,21 +7,21 @@
 namespace cuminrail {
 
 /**
-    Claims of non-repeatable calls: kept on the control thread, asked from request threads.
+    Claims of non-repeatable calls: managed on the control thread, requested from request threads.
 
-    @see ClaimKeeper
+    @see ClaimManager
 */
 class ClaimService
 {
 public:
     ClaimService(ControlPlane &control, const ObjectStore &store, Incarnation incarnation,
-                 ClaimManager::IncarnationEndedHook isGone);
+                 ClaimManager::IncarnationEndedHook hasEnded);
     ClaimService(const ClaimService &) = delete;
     ClaimService &operator=(const ClaimService &) = delete;
 
 private:
     ControlPlane &control_;
-    ClaimManager keeper_;
+    ClaimManager manager_;
 };
 
 } // namespace cuminrail
--- a/modules/instance/services/ControlServices.cpp
+++ b/modules/instance/services/ControlServices.cpp
@@ -8,20 +8,22 @@
 
 namespace {
 
-/** How long a leaving instance stays, so that its neighbours hear that it leaves. */
-constexpr Millis leaveTime{300};
-constexpr std::uint64_t randomPart = 1000;
+/** How long a leaving instance keeps running, so that its neighbours receive the announcement. */
+constexpr Millis leaveDelay{300};
+constexpr std::uint64_t randomRange = 1000;
 
 /**
-    Returns a number greater than that of this instance's former lives, if calendars go forward.
+    Returns a number greater than this instance's previous incarnations, unless the calendar clock
+    was set back.
 
-    The random part keeps two lives within a millisecond apart. A calendar that went back is made
-    up for by the membership, where a life that hears of a greater one of its own name refutes it.
+    The random part distinguishes two incarnations that start within one millisecond. After the
+    clock was set back, the number may be smaller than a previous one: peers ignore it as long as
+    they know the greater one, since membership refutes only claims about the current incarnation.
 */
 Incarnation newIncarnation()
 {
     const auto milliseconds = static_cast<Incarnation>(calendarNow().count());
-    return milliseconds * randomPart + std::random_device()() % randomPart;
+    return milliseconds * randomRange + std::random_device()() % randomRange;
 }
 
 PlatformClientOptions clientOptions(const InstanceConfig &config)
@@ -68,8 +70,8 @@
       engines_(control_, members_, engineControl_, peers_.transport()),
       budgets_(control_, instance.admission(), members_, peers_.transport(), self_.incarnation),
       claims_(control_, store_, self_.incarnation,
-              [this](const InstanceId &other, Incarnation life) {
-                  return members_.isGone(other, life);
+              [this](const InstanceId &other, Incarnation incarnation) {
+                  return members_.isGone(other, incarnation);
               }),
       usage_(control_, store_, self_, members_, timing.usageWindow),
       duties_(control_, members_, self_,
@@ -81,14 +83,14 @@
     peers_.setFrameHandler([this](const PeerAddress &from, const std::string &frame) {
         members_.receive(from, frame);
     });
-    settings_.addSettingsHook([this](const Settings &settings) { settingsChanged(settings); });
+    settings_.addSettingsHook([this](const Settings &settings) { applySettings(settings); });
     members_.setListReaderHook([this] { return settings_.isWatching(); });
     members_.setUpstreamListHook(
-        [this](const std::vector<ListedInstance> &upstreams) { upstreamsListed(upstreams); });
+        [this](const std::vector<ListedInstance> &upstreams) { handleUpstreamList(upstreams); });
     control_.addStopHook([this](std::function<void()> done) { leave(std::move(done)); });
 }
 
-void ControlServices::settingsChanged(const Settings &settings)
+void ControlServices::applySettings(const Settings &settings)
 {
     engineAddresses_.clear();
     for (const EngineSettings &engine : settings.fleet.engines)
@@ -106,18 +108,19 @@
     return address->second;
 }
 
-void ControlServices::upstreamsListed(const std::vector<ListedInstance> &upstreams)
+void ControlServices::handleUpstreamList(const std::vector<ListedInstance> &upstreams)
 {
     for (const ListedInstance &upstream : upstreams) {
         if (!upstream.leaving)
             continue;
         const UpstreamId id(upstream.name);
         const EngineState *state = engines_.table().facts(engineKey(id));
-        const Incarnation life = state == nullptr ? 0 : state->incarnation;
-        engines_.markLeaving({id, life});
-        // The list lags and few read it: told at once, all instances stop sending within seconds.
+        const Incarnation incarnation = state == nullptr ? 0 : state->incarnation;
+        engines_.markLeaving({id, incarnation});
+        // The platform's list lags and only a few instances read it: with the broadcast all
+        // instances stop sending calls to the upstream within seconds.
         members_.membership().broadcast(control_.thread().deadlines().now(),
-                                        {UrgentFactKind::UpstreamLeaving, id.text(), life});
+                                        {UrgentFactKind::UpstreamLeaving, id.text(), incarnation});
     }
 }
 
@@ -125,7 +128,7 @@
 {
     members_.membership().leave(control_.thread().deadlines().now());
     auto timer = std::make_shared<boost::asio::steady_timer>(control_.thread().io());
-    timer->expires_after(std::chrono::milliseconds(leaveTime.count()));
+    timer->expires_after(std::chrono::milliseconds(leaveDelay.count()));
     timer->async_wait([timer, done = std::move(done)](const auto &) { done(); });
 }
 
--- a/modules/instance/services/ControlServices.h
+++ b/modules/instance/services/ControlServices.h
@@ -15,7 +15,7 @@
 
 namespace cuminrail {
 
-/** Spans that operators may set for trials; the defaults are for real use. */
+/** Durations that operators may override for trials; the defaults are for production. */
 struct ControlTiming
 {
     Millis usageWindow = Millis::minutes(5);
@@ -23,10 +23,11 @@
 };
 
 /**
-    Everything of an instance that needs the platform or other instances, put together.
+    Creates and connects all services of an instance that use the platform or other instances.
 
-    Make it before Instance::start(), destroy it after Instance::shutDown(). All of it runs on the
-    control thread; request threads reach it through the snapshot and hooks of ServingContext.
+    Construct it before Instance::start() and destroy it after Instance::shutDown(). All services
+    run on the control thread; request threads access them through the snapshot and hooks of
+    ServingContext.
 */
 class ControlServices
 {
@@ -36,8 +37,8 @@
     ControlServices &operator=(const ControlServices &) = delete;
 
 private:
-    void settingsChanged(const Settings &settings);
-    void upstreamsListed(const std::vector<ListedInstance> &upstreams);
+    void applySettings(const Settings &settings);
+    void handleUpstreamList(const std::vector<ListedInstance> &upstreams);
     void leave(std::function<void()> done);
     std::optional<std::string> engineAddress(const UpstreamId &engine) const;
 
--- a/modules/instance/services/DutyService.cpp
+++ b/modules/instance/services/DutyService.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr Millis tickPeriod{100};
-/** What the weight store is told of a load; the platform's own figure for the model counts. */
-constexpr std::uint64_t unknownSize = 0;
+constexpr Millis tickInterval{100};
+/** Size passed with a ticket request; the platform uses the size that it has for the model. */
+constexpr std::uint64_t unknownModelSize = 0;
 
-RandomHook freshRandom()
+RandomHook newRandomHook()
 {
     return seededRandom(std::random_device()());
 }
@@ -27,7 +27,7 @@
     : control_(control), members_(members), self_(self), ports_(std::move(ports)),
       usageTiming_(usageTiming), leases_(self, LeaseTiming(), leaseHooks())
 {
-    control_.addTick(tickPeriod, [this](Millis) { tick(); });
+    control_.addTick(tickInterval, [this](Millis) { tick(); });
     control_.addStopHook([this](std::function<void()> done) { stop(std::move(done)); });
     control_.addState("duties", [this] { return describe(); });
 }
@@ -35,11 +35,13 @@
 LeaseManager::Hooks DutyService::leaseHooks()
 {
     LeaseManager::Hooks hooks{
-        ports_.store, bootClock(), freshRandom(), control_.context().events, {}, {}, {}, {}};
+        ports_.store, bootClock(), newRandomHook(), control_.context().events, {}, {}, {}, {}};
     hooks.duties = [this] { return duties_; };
     hooks.liveMembers = [this] { return members_.usableIds(); };
-    hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) { taken(duty); };
-    hooks.onLeaseLost = [this](const std::string &duty) { lost(duty); };
+    hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) {
+        onLeaseAcquired(duty);
+    };
+    hooks.onLeaseLost = [this](const std::string &duty) { onLeaseLost(duty); };
     return hooks;
 }
 
@@ -47,21 +49,21 @@
 {
     duties_.clear();
     dutyOfEngine_.clear();
-    std::map<std::string, std::vector<OrderedEngine>> engines;
+    std::map<std::string, std::vector<OrderedEngine>> enginesByDuty;
     for (const FailureDomainSettings &domain : settings.fleet.domains) {
         const std::string duty = ordersDuty(domain.id);
         duties_.push_back(duty);
-        engines[duty];
-        if (orders_.count(duty) == 0)
-            orders_[duty] = makeOrders(domain.id);
+        enginesByDuty[duty];
+        if (orderManagers_.count(duty) == 0)
+            orderManagers_[duty] = makeOrderManager(domain.id);
     }
     for (const EngineSettings &engine : settings.fleet.engines) {
         const std::string duty = ordersDuty(engine.domain);
-        engines[duty].push_back({engine.id, engine.checksFence});
+        enginesByDuty[duty].push_back({engine.id, engine.checksFence});
         dutyOfEngine_[engine.id] = duty;
     }
-    for (const auto &[duty, list] : engines)
-        orders_[duty]->setEngines(list);
+    for (const auto &[duty, engines] : enginesByDuty)
+        orderManagers_[duty]->setEngines(engines);
     for (const TeamSettings &team : settings.teams) {
         const std::string duty = usageDuty(team.id);
         duties_.push_back(duty);
@@ -70,20 +72,21 @@
     }
 }
 
-std::unique_ptr<OrderManager> DutyService::makeOrders(const FailureDomainId &domain)
+std::unique_ptr<OrderManager> DutyService::makeOrderManager(const FailureDomainId &domain)
 {
-    OrderManager::Hooks hooks{{ports_.store, ports_.engines, bootClock(), freshRandom(),
+    OrderManager::Hooks hooks{{ports_.store, ports_.engines, bootClock(), newRandomHook(),
                                control_.context().events,
                                [this, domain] { return authorityOf(domain); },
                                [](const OrderRecord &) {}, self_.instance.text()},
                               {}};
-    hooks.weightTicket = [this](const OrderRequest &wanted, auto done) {
-        ports_.weights.requestTicket(wanted.target, unknownSize, [done](const TicketReply &reply) {
-            if (reply.status == TicketStatus::Granted)
-                done(std::nullopt);
-            else
-                done(reply.retryAfter + Millis::seconds(1));
-        });
+    hooks.weightTicket = [this](const OrderRequest &orderRequest, auto done) {
+        ports_.weights.requestTicket(orderRequest.target, unknownModelSize,
+                                     [done](const TicketReply &reply) {
+                                         if (reply.status == TicketStatus::Granted)
+                                             done(std::nullopt);
+                                         else
+                                             done(reply.retryAfter + Millis::seconds(1));
+                                     });
     };
     return std::make_unique<OrderManager>(OrderTiming(), std::move(hooks));
 }
@@ -95,43 +98,43 @@
         ports_.store,
         ports_.receiver,
         bootClock(),
-        freshRandom(),
+        newRandomHook(),
         control_.context().events,
         [this, duty] { return leases_.authority(duty, bootTime()); },
         [] { return calendarNow(); },
-        [this](const std::string &life) { return isLiveCounter(life); },
+        [this](const std::string &incarnationText) { return isLiveIncarnation(incarnationText); },
     };
     return std::make_unique<UsageReporter>(team, usageTiming_, std::move(hooks));
 }
 
-bool DutyService::isLiveCounter(const std::string &life) const
+bool DutyService::isLiveIncarnation(const std::string &incarnationText) const
 {
-    const std::size_t dash = life.rfind('-');
+    const std::size_t dash = incarnationText.rfind('-');
     if (dash == std::string::npos)
         return false;
-    const InstanceId instance(life.substr(0, dash));
-    const Incarnation incarnation = std::strtoull(life.c_str() + dash + 1, nullptr, 10);
+    const InstanceId instance(incarnationText.substr(0, dash));
+    const Incarnation incarnation = std::strtoull(incarnationText.c_str() + dash + 1, nullptr, 10);
     if (instance == self_.instance)
         return incarnation == self_.incarnation;
     const auto member = members_.membership().member(instance);
     return member && !members_.isGone(instance, incarnation);
 }
 
-void DutyService::taken(const std::string &duty)
+void DutyService::onLeaseAcquired(const std::string &duty)
 {
-    const auto orders = orders_.find(duty);
-    if (orders != orders_.end())
-        orders->second->onLeaseAcquired();
+    const auto manager = orderManagers_.find(duty);
+    if (manager != orderManagers_.end())
+        manager->second->onLeaseAcquired();
     const auto reporter = reporters_.find(duty);
     if (reporter != reporters_.end())
         reporter->second->onLeaseAcquired();
 }
 
-void DutyService::lost(const std::string &duty)
+void DutyService::onLeaseLost(const std::string &duty)
 {
-    const auto orders = orders_.find(duty);
-    if (orders != orders_.end())
-        orders->second->onLeaseLost();
+    const auto manager = orderManagers_.find(duty);
+    if (manager != orderManagers_.end())
+        manager->second->onLeaseLost();
     const auto reporter = reporters_.find(duty);
     if (reporter != reporters_.end())
         reporter->second->onLeaseLost();
@@ -140,7 +143,7 @@
 void DutyService::tick()
 {
     leases_.tick();
-    for (const auto &entry : orders_)
+    for (const auto &entry : orderManagers_)
         entry.second->tick();
     for (const auto &entry : reporters_)
         entry.second->tick();
@@ -152,20 +155,21 @@
     control_.pollUntil([this] { return leases_.isStopped(); }, std::move(done));
 }
 
-bool DutyService::order(const OrderRequest &wanted, Reason *lastReason)
+bool DutyService::order(const OrderRequest &orderRequest, Reason *lastReason)
 {
-    const auto duty = dutyOfEngine_.find(wanted.engine);
+    const auto duty = dutyOfEngine_.find(orderRequest.engine);
     if (duty == dutyOfEngine_.end())
-        return fail(lastReason, wanted.engine.text(), "is no engine of the settings in force");
+        return fail(lastReason, orderRequest.engine.text(),
+                    "is not an engine of the settings in force");
     if (!leases_.authority(duty->second, bootTime()))
-        return fail(lastReason, duty->second, "is not held here");
-    return orders_[duty->second]->request(wanted, lastReason);
+        return fail(lastReason, duty->second, "is not held by this instance");
+    return orderManagers_[duty->second]->request(orderRequest, lastReason);
 }
 
 OrderManager *DutyService::ordersOf(const FailureDomainId &domain)
 {
-    const auto orders = orders_.find(ordersDuty(domain));
-    return orders == orders_.end() ? nullptr : orders->second.get();
+    const auto manager = orderManagers_.find(ordersDuty(domain));
+    return manager == orderManagers_.end() ? nullptr : manager->second.get();
 }
 
 std::optional<Authority> DutyService::authorityOf(const FailureDomainId &domain) const
@@ -189,7 +193,7 @@
         duties.push_back(std::move(duty));
     }
     nlohmann::json orders = nlohmann::json::array();
-    for (const auto &entry : orders_) {
+    for (const auto &entry : orderManagers_) {
         for (const OrderManager::View &view : entry.second->view()) {
             if (!view.outstanding)
                 continue;
--- a/modules/instance/services/DutyService.h
+++ b/modules/instance/services/DutyService.h
@@ -15,11 +15,12 @@
 namespace cuminrail {
 
 /**
-    The duties that this instance may hold: orders to a failure domain's engines, a team's usage.
+    The duties that this instance may hold: the orders to the engines of a failure domain and the
+    usage reports of a team.
 
-    Each duty has a lease; what belongs to it is told when the lease is taken and lost, and asks
-    for authority at the last moment before it acts. At a planned stop open orders are let end,
-    then all duties are given back.
+    Each duty has a lease. The order manager or usage reporter of a duty is notified when the lease
+    is acquired and lost, and checks its authority immediately before it acts. At a planned stop
+    all leases are released; replies to outstanding orders are ignored from then on.
 */
 class DutyService
 {
@@ -37,15 +38,15 @@
     DutyService(const DutyService &) = delete;
     DutyService &operator=(const DutyService &) = delete;
 
-    /** Takes the failure domains, engines and teams of newer settings. */
+    /** Applies the failure domains, engines and teams of new settings. */
     void configure(const Settings &settings);
 
-    /** Gives an order, if this instance holds the engine's duty. */
-    bool order(const OrderRequest &wanted, Reason *lastReason);
+    /** Requests an order to an engine; fails if this instance does not hold the engine's duty. */
+    bool order(const OrderRequest &orderRequest, Reason *lastReason);
 
-    /** Returns the keeper of a failure domain's orders, or null when settings name none. */
+    /** Returns the order manager of a failure domain, or null if no settings have named it. */
     OrderManager *ordersOf(const FailureDomainId &domain);
-    /** Returns the right to act for a failure domain at this moment. */
+    /** Returns the current authority to act for a failure domain, if this instance has it. */
     std::optional<Authority> authorityOf(const FailureDomainId &domain) const;
 
     static std::string ordersDuty(const FailureDomainId &domain)
@@ -56,13 +57,13 @@
 
 private:
     LeaseManager::Hooks leaseHooks();
-    std::unique_ptr<OrderManager> makeOrders(const FailureDomainId &domain);
+    std::unique_ptr<OrderManager> makeOrderManager(const FailureDomainId &domain);
     std::unique_ptr<UsageReporter> makeReporter(const TeamId &team);
-    void taken(const std::string &duty);
-    void lost(const std::string &duty);
+    void onLeaseAcquired(const std::string &duty);
+    void onLeaseLost(const std::string &duty);
     void tick();
     void stop(std::function<void()> done);
-    bool isLiveCounter(const std::string &life) const;
+    bool isLiveIncarnation(const std::string &incarnationText) const;
     nlohmann::json describe() const;
 
     ControlPlane &control_;
@@ -71,7 +72,7 @@
     Ports ports_;
     UsageTiming usageTiming_;
     std::vector<std::string> duties_;
-    std::map<std::string, std::unique_ptr<OrderManager>> orders_;
+    std::map<std::string, std::unique_ptr<OrderManager>> orderManagers_;
     std::map<std::string, std::unique_ptr<UsageReporter>> reporters_;
     std::map<UpstreamId, std::string> dutyOfEngine_;
     LeaseManager leases_;
--- a/modules/instance/services/EngineService.cpp
+++ b/modules/instance/services/EngineService.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr Millis viewTick{50};
-constexpr Millis factsTick{100};
-constexpr Millis loadsTick{250};
-constexpr Millis ejectionTick{250};
-constexpr Millis teamDecayTick = Millis::minutes(1);
+constexpr Millis viewInterval{50};
+constexpr Millis factsInterval{100};
+constexpr Millis loadsInterval{250};
+constexpr Millis ejectionInterval{250};
+constexpr Millis teamDecayInterval = Millis::minutes(1);
 
 EngineView::Config viewConfig(const ControlPlane &control)
 {
@@ -40,29 +40,29 @@
         if (fact.kind == UrgentFactKind::UpstreamLeaving)
             markLeaving({UpstreamId(fact.subject), fact.number});
     });
-    control_.addTick(viewTick, [this](Millis now) { view_.tick(now); });
-    control_.addTick(factsTick, [this](Millis) { publishFactsIfChanged(); });
-    control_.addTick(loadsTick, [this](Millis now) { publishLoads(now); });
-    control_.addTick(ejectionTick, [this](Millis now) {
+    control_.addTick(viewInterval, [this](Millis now) { view_.tick(now); });
+    control_.addTick(factsInterval, [this](Millis) { publishFactsIfChanged(); });
+    control_.addTick(loadsInterval, [this](Millis now) { publishLoads(now); });
+    control_.addTick(ejectionInterval, [this](Millis now) {
         const RcuReadScope scope;
         const ServingSnapshot &snapshot = control_.context().snapshot.get(scope);
         ejector_.evaluate(snapshot.routing, control_.context().loads, now);
     });
-    control_.addTick(teamDecayTick, [this](Millis) { control_.context().loads.decayTeams(); });
+    control_.addTick(teamDecayInterval, [this](Millis) { control_.context().loads.decayTeams(); });
     control_.addState("engines", [this] { return describe(); });
 }
 
 void EngineService::configure(const Settings &settings)
 {
     view_.setEngines(settings.fleet.engines);
-    std::vector<UpstreamId> known;
+    std::vector<UpstreamId> knownUpstreams;
     for (const EngineSettings &engine : settings.fleet.engines)
-        known.push_back(engine.id);
+        knownUpstreams.push_back(engine.id);
     for (const ServiceSettings &service : settings.fleet.services) {
         for (const ServiceUpstreamSettings &upstream : service.upstreams)
-            known.push_back(upstream.id);
+            knownUpstreams.push_back(upstream.id);
     }
-    leaving_.retain(known);
+    leaving_.retain(knownUpstreams);
 }
 
 void EngineService::markLeaving(const LeavingUpstream &upstream)
@@ -75,16 +75,16 @@
 
 void EngineService::publishFactsIfChanged()
 {
-    if (!leavingChanged_ && publishedFacts_ == view_.table().factsRevision())
+    if (!leavingChanged_ && publishedFactsRevision_ == view_.table().factsRevision())
         return;
     leavingChanged_ = false;
-    publishedFacts_ = view_.table().factsRevision();
-    FleetState facts;
-    facts.leaving = leaving_;
+    publishedFactsRevision_ = view_.table().factsRevision();
+    FleetState fleetState;
+    fleetState.leaving = leaving_;
     for (const EngineState *state : view_.table().knownFacts())
-        facts.engines[state->engine] = {state->incarnation, state->role, state->models,
-                                        state->adapters};
-    control_.publishFacts(std::move(facts));
+        fleetState.engines[state->engine] = {state->incarnation, state->role, state->models,
+                                             state->adapters};
+    control_.publishFacts(std::move(fleetState));
 }
 
 void EngineService::publishLoads(Millis now)
--- a/modules/instance/services/EngineService.h
+++ b/modules/instance/services/EngineService.h
@@ -9,10 +9,10 @@
 namespace cuminrail {
 
 /**
-    What this instance knows of engines, put where routing reads it.
+    Publishes this instance's state of the engines to routing.
 
-    Roles and models go into the routing table when they change, loads into the live counters a
-    few times a second, leaving upstreams at once.
+    Roles and models enter the routing table when they change, loads enter the live counters several
+    times per second, and leaving upstreams take effect immediately.
 */
 class EngineService
 {
@@ -22,10 +22,10 @@
     EngineService(const EngineService &) = delete;
     EngineService &operator=(const EngineService &) = delete;
 
-    /** Takes the engines of newer settings. */
+    /** Applies the engines and upstreams of new settings. */
     void configure(const Settings &settings);
 
-    /** Marks a life of an upstream as leaving; it gets no new work here from now on. */
+    /** Marks an incarnation of an upstream as leaving: this instance routes no new calls to it. */
     void markLeaving(const LeavingUpstream &upstream);
 
     const ReportTable &table() const { return view_.table(); }
@@ -39,7 +39,7 @@
     EngineView view_;
     OutlierEjector ejector_;
     LeavingSet leaving_;
-    std::uint64_t publishedFacts_ = 0;
+    std::uint64_t publishedFactsRevision_ = 0;
     bool leavingChanged_ = false;
 };
 
--- a/modules/instance/services/MemberService.cpp
+++ b/modules/instance/services/MemberService.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-constexpr Millis tickPeriod{100};
+constexpr Millis tickInterval{100};
 /**
-    Few instances read the list each second, so that a leaving upstream is noticed soon, and tell
-    the others. The rest read it to find peers: at 370 instances 12 reads a second.
+    A few instances read the platform's list every second, so that a leaving upstream is detected
+    early, and announce it to the others. The rest read it at the longer interval to find peers;
+    with 370 instances that makes 12 reads per second.
 */
-constexpr Millis listTick{1000};
-constexpr Millis listPeriod = Millis::seconds(30);
+constexpr Millis listCheckInterval{1000};
+constexpr Millis listInterval = Millis::seconds(30);
 
 } // namespace
 
@@ -22,20 +23,20 @@
                              std::function<SettingsDigest(Millis)> settingsDigest)
     : control_(control), fleet_(std::move(fleet)),
       membership_(MembershipConfig(), self,
-                  hooksFor(std::move(transport), std::move(settingsDigest)))
+                  makeHooks(std::move(transport), std::move(settingsDigest)))
 {
     membership_.setSeeds(control_.context().config.peers);
     setFrameHook(FrameChannel::Membership, [this](const PeerAddress &, const std::string &frame) {
         membership_.handleFrame(control_.thread().deadlines().now(), frame);
     });
-    control_.addStartHook([this] { readListIfDue(control_.thread().deadlines().now()); });
-    control_.addTick(listTick, [this](Millis now) { readListIfDue(now); });
-    control_.addTick(tickPeriod, [this](Millis now) { membership_.tick(now); });
+    control_.addStartHook([this] { requestListIfDue(control_.thread().deadlines().now()); });
+    control_.addTick(listCheckInterval, [this](Millis now) { requestListIfDue(now); });
+    control_.addTick(tickInterval, [this](Millis now) { membership_.tick(now); });
     control_.addState("members", [this] { return describe(); });
 }
 
-MembershipHooks MemberService::hooksFor(PeerTransport transport,
-                                        std::function<SettingsDigest(Millis)> settingsDigest)
+MembershipHooks MemberService::makeHooks(PeerTransport transport,
+                                         std::function<SettingsDigest(Millis)> settingsDigest)
 {
     MembershipHooks hooks;
     hooks.transport = std::move(transport);
@@ -89,14 +90,14 @@
 
 std::vector<MemberRecord> MemberService::usable() const
 {
-    std::vector<MemberRecord> usable;
+    std::vector<MemberRecord> records;
     if (!membership_.self().leaving)
-        usable.push_back(membership_.self());
+        records.push_back(membership_.self());
     for (const MemberView &member : membership_.members()) {
         if (member.isUsable())
-            usable.push_back(member.record);
+            records.push_back(member.record);
     }
-    return usable;
+    return records;
 }
 
 std::vector<InstanceId> MemberService::usableIds() const
@@ -144,25 +145,25 @@
     onUpstreamList_ = std::move(hook);
 }
 
-void MemberService::readListIfDue(Millis now)
+void MemberService::requestListIfDue(Millis now)
 {
-    const bool isReader = isListReader_ && isListReader_();
-    if (!isReader && now < nextListAt_)
+    const bool isListReader = isListReader_ && isListReader_();
+    if (!isListReader && now < nextListRequestAt_)
         return;
-    nextListAt_ = now + listPeriod;
+    nextListRequestAt_ = now + listInterval;
     fleet_.listInstances(
-        [this](const std::optional<std::vector<ListedInstance>> &listed) { listRead(listed); });
+        [this](const std::optional<std::vector<ListedInstance>> &listed) { handleList(listed); });
 }
 
-void MemberService::listRead(const std::optional<std::vector<ListedInstance>> &listed)
+void MemberService::handleList(const std::optional<std::vector<ListedInstance>> &listed)
 {
     if (!listed)
         return;
-    std::vector<ListedInstance> own;
+    std::vector<ListedInstance> ownInstances;
     std::vector<ListedInstance> upstreams;
     for (const ListedInstance &entry : *listed)
-        (entry.isOwn ? own : upstreams).push_back(entry);
-    membership_.setListedInstances(own);
+        (entry.isOwn ? ownInstances : upstreams).push_back(entry);
+    membership_.setListedInstances(ownInstances);
     if (onUpstreamList_)
         onUpstreamList_(upstreams);
 }
--- a/modules/instance/services/MemberService.h
+++ b/modules/instance/services/MemberService.h
@@ -13,9 +13,10 @@
 namespace cuminrail {
 
 /**
-    This instance's membership, fed by the links to peers and by the platform's lagging list.
+    The membership of this instance, updated by frames from peers and by the platform's list of
+    instances, which lags behind.
 
-    Hands frames to the module that they are for: other services register for their channel.
+    Dispatches received frames by channel: other services register a hook for their channel.
 */
 class MemberService
 {
@@ -29,7 +30,7 @@
 
     Membership &membership() { return membership_; }
 
-    /** Takes a frame from a peer and gives it to its module. */
+    /** Passes a frame from a peer to the hook of its channel; drops it if there is none. */
     void receive(const PeerAddress &from, const std::string &frame);
 
     void setFrameHook(FrameChannel channel, FrameHook hook);
@@ -37,25 +38,25 @@
     void addDigestHook(std::function<void(const PeerDigest &)> hook);
     void addChangeHook(std::function<void()> hook);
 
-    /** Called with each list of upstreams that the platform gave. */
+    /** Sets the hook that is called with each list of upstreams received from the platform. */
     void setUpstreamListHook(std::function<void(const std::vector<ListedInstance> &)> hook);
-    /** Says whether this instance is one of the few that read the platform's list every second. */
+    /** Sets the hook that returns whether this instance reads the platform's list every second. */
     void setListReaderHook(std::function<bool()> hook) { isListReader_ = std::move(hook); }
 
-    /** Members that may be given duties, this instance included. */
+    /** Returns the members that may hold duties, this instance included unless it is leaving. */
     std::vector<MemberRecord> usable() const;
     std::vector<InstanceId> usableIds() const;
-    /** Where news goes: addresses of the instance's neighbours among usable members. */
+    /** Returns the addresses of this instance's usable neighbours, to which updates are sent. */
     std::vector<PeerAddress> neighbours() const;
-    /** Returns true when this life of an instance is known to be over. */
+    /** Returns true if this incarnation of an instance is known to have ended. */
     bool isGone(const InstanceId &instance, Incarnation incarnation) const;
     PeerAddress addressOf(const InstanceId &instance) const;
 
 private:
-    MembershipHooks hooksFor(PeerTransport transport,
-                             std::function<SettingsDigest(Millis)> settingsDigest);
-    void readListIfDue(Millis now);
-    void listRead(const std::optional<std::vector<ListedInstance>> &listed);
+    MembershipHooks makeHooks(PeerTransport transport,
+                              std::function<SettingsDigest(Millis)> settingsDigest);
+    void requestListIfDue(Millis now);
+    void handleList(const std::optional<std::vector<ListedInstance>> &listed);
     nlohmann::json describe() const;
 
     ControlPlane &control_;
@@ -66,7 +67,7 @@
     std::vector<std::function<void()>> changeHooks_;
     std::function<void(const std::vector<ListedInstance> &)> onUpstreamList_;
     std::function<bool()> isListReader_;
-    Millis nextListAt_{0};
+    Millis nextListRequestAt_{0};
     Membership membership_;
 };
 
--- a/modules/instance/services/PeerService.cpp
+++ b/modules/instance/services/PeerService.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Millis secretsCheckPeriod = Millis::seconds(2);
+constexpr Millis secretsCheckInterval = Millis::seconds(2);
 
 } // namespace
 
@@ -41,7 +41,7 @@
     if (!address)
         return false;
     address_ = *address;
-    control_.addTick(secretsCheckPeriod, [this](Millis) { reloadSecrets(); });
+    control_.addTick(secretsCheckInterval, [this](Millis) { reloadSecrets(); });
     control_.addState("peer_links", [this] { return describe(); });
     return true;
 }
@@ -66,7 +66,7 @@
     secretsText_ = *text;
     Reason reason;
     auto secrets = SharedSecrets::fromText(*text, &reason);
-    // A file caught half-written must not cut this instance off: the old secrets stay in force.
+    // A partially written file must not disconnect this instance: the previous secrets stay in use.
     if (!secrets) {
         control_.context().events(
             Event{&events::peerSecretsNotReloaded, {{"reason", reason.toString()}}});
--- a/modules/instance/services/PeerService.h
+++ b/modules/instance/services/PeerService.h
@@ -9,10 +9,10 @@
 namespace cuminrail {
 
 /**
-    The links to other instances, with secrets that are read again when their file changes.
+    The links to other instances. Reloads the shared secrets when their file changes.
 
-    Without a secrets file there are no links: an instance without a shared secret could not tell
-    its peers from strangers, so it acts as if it were alone.
+    Without a secrets file there are no links: an instance without a shared secret cannot
+    authenticate its peers, so it runs standalone.
 */
 class PeerService
 {
@@ -22,15 +22,16 @@
     PeerService &operator=(const PeerService &) = delete;
 
     /**
-        Reads the secrets and listens. Call it before the control thread starts.
+        Reads the secrets and starts to listen. Call it before the control thread starts.
 
-        Returns false, with the reason, for a bad file or an address that cannot be had.
+        Returns false, with the reason, if the file is unreadable or invalid or if listening on the
+        address fails.
     */
     bool start(Reason *lastReason);
 
     void setFrameHandler(PeerLinks::FrameHandler handler);
 
-    /** Returns the address by which peers know this instance; empty without links. */
+    /** Returns the address at which peers reach this instance; empty without links. */
     const PeerAddress &address() const { return address_; }
     PeerTransport transport();
 
--- a/modules/instance/services/SettingsService.cpp
+++ b/modules/instance/services/SettingsService.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr Millis tickPeriod{100};
+constexpr Millis tickInterval{100};
 
-ConfigSyncConfig configOf(const ControlPlane &control)
+ConfigSyncConfig syncConfig(const ControlPlane &control)
 {
     ConfigSyncConfig config;
     config.stalenessLimit = control.context().config.stalenessLimit;
@@ -23,7 +23,7 @@
 
 SettingsService::SettingsService(ControlPlane &control, MemberService &members,
                                  const ObjectStore &store, const PeerTransport &peers)
-    : control_(control), sync_(configOf(control), hooksFor(store, peers), members.membership())
+    : control_(control), sync_(syncConfig(control), makeHooks(store, peers), members.membership())
 {
     members.setFrameHook(
         FrameChannel::ConfigSync,
@@ -31,14 +31,14 @@
     members.addFactHook([this](const UrgentFact &fact) { sync_.onFact(fact); });
     members.addDigestHook([this](const PeerDigest &digest) { sync_.onPeerDigest(digest); });
     members.addChangeHook([this] { sync_.onMembersChanged(); });
-    control_.addTick(tickPeriod, [this](Millis now) {
+    control_.addTick(tickInterval, [this](Millis now) {
         sync_.tick();
         updateStaleness(now);
     });
     control_.addState("settings", [this] { return describe(); });
 }
 
-ConfigSyncHooks SettingsService::hooksFor(const ObjectStore &store, const PeerTransport &peers)
+ConfigSyncHooks SettingsService::makeHooks(const ObjectStore &store, const PeerTransport &peers)
 {
     ConfigSyncHooks hooks{
         store, peers, bootClock(), seededRandom(std::random_device()()), control_.context().events,
@@ -47,7 +47,7 @@
     hooks.onSettings = [this](const std::shared_ptr<const Settings> &settings) {
         control_.publish(*settings);
         publishWithdrawn();
-        for (const SettingsHook &hook : hooks_)
+        for (const SettingsHook &hook : settingsHooks_)
             hook(*settings);
     };
     hooks.onWithdrawnChanged = [this] { publishWithdrawn(); };
@@ -57,8 +57,8 @@
 void SettingsService::publishWithdrawn()
 {
     std::set<KeyHash> keys;
-    for (const std::string &text : sync_.withdrawnAhead()) {
-        const auto hash = KeyHash::fromHex(text);
+    for (const std::string &hex : sync_.withdrawnAhead()) {
+        const auto hash = KeyHash::fromHex(hex);
         if (hash)
             keys.insert(*hash);
     }
--- a/modules/instance/services/SettingsService.h
+++ b/modules/instance/services/SettingsService.h
@@ -10,9 +10,10 @@
 namespace cuminrail {
 
 /**
-    Settings and keys of the platform, put in force on request threads when they change.
+    Synchronizes the platform's settings and keys and publishes changes to the request threads.
 
-    Refuses requests while this instance cannot know which keys are withdrawn.
+    Marks the instance as stale, so that it refuses requests, while it cannot know which keys are
+    withdrawn.
 */
 class SettingsService
 {
@@ -24,22 +25,22 @@
     SettingsService(const SettingsService &) = delete;
     SettingsService &operator=(const SettingsService &) = delete;
 
-    /** Called on the control thread whenever other settings came into force. */
-    void addSettingsHook(SettingsHook hook) { hooks_.push_back(std::move(hook)); }
+    /** Adds a hook that is called on the control thread whenever other settings come into force. */
+    void addSettingsHook(SettingsHook hook) { settingsHooks_.push_back(std::move(hook)); }
 
-    /** Returns true while this instance is one of the few that watch the store. */
+    /** Returns true while this instance is one of the few that watch the store for changes. */
     bool isWatching() const { return sync_.isWatching(); }
 
     SettingsDigest digest(Millis now) const { return sync_.digest(now); }
 
 private:
-    ConfigSyncHooks hooksFor(const ObjectStore &store, const PeerTransport &peers);
+    ConfigSyncHooks makeHooks(const ObjectStore &store, const PeerTransport &peers);
     void publishWithdrawn();
     void updateStaleness(Millis now);
     nlohmann::json describe() const;
 
     ControlPlane &control_;
-    std::vector<SettingsHook> hooks_;
+    std::vector<SettingsHook> settingsHooks_;
     ConfigSync sync_;
 };
 
--- a/modules/instance/services/UsageService.cpp
+++ b/modules/instance/services/UsageService.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr Millis tickPeriod{100};
+constexpr Millis tickInterval{100};
 
-UsageCounters figuresOf(const UsageRecord &record)
+UsageCounters countersOf(const UsageRecord &record)
 {
-    UsageCounters figures;
-    figures.promptTokens = record.promptTokens;
-    figures.outputTokens = record.outputTokens;
-    figures.requests = 1;
-    return figures;
+    UsageCounters counters;
+    counters.promptTokens = record.promptTokens;
+    counters.outputTokens = record.outputTokens;
+    counters.requests = 1;
+    return counters;
 }
 
 } // namespace
@@ -36,8 +36,8 @@
                            Millis windowLength)
     : control_(control), store_(store), self_(self), members_(members), windows_(windowLength)
 {
-    control_.context().onUsage = [this](const UsageRecord &usage) { record(usage); };
-    control_.addTick(tickPeriod, [this](Millis) { tick(); });
+    control_.context().onUsage = [this](const UsageRecord &usage) { addRecord(usage); };
+    control_.addTick(tickInterval, [this](Millis) { tick(); });
     control_.addStopHook([this](std::function<void()> done) { stopFlushers(std::move(done)); });
     control_.addState("usage", [this] {
         nlohmann::json teams = nlohmann::json::object();
@@ -47,7 +47,7 @@
     });
 }
 
-void UsageService::record(const UsageRecord &record)
+void UsageService::addRecord(const UsageRecord &record)
 {
     const std::lock_guard<std::mutex> lock(mutex_);
     records_.push_back(record);
@@ -61,12 +61,12 @@
         records.swap(records_);
     }
     for (const UsageRecord &record : records)
-        flusher(record.team).add(record.customer, figuresOf(record));
+        flusherOf(record.team).add(record.customer, countersOf(record));
     for (const auto &entry : flushers_)
         entry.second->tick();
 }
 
-UsageFlusher &UsageService::flusher(const TeamId &team)
+UsageFlusher &UsageService::flusherOf(const TeamId &team)
 {
     auto &flusher = flushers_[team];
     if (!flusher) {
--- a/modules/instance/services/UsageService.h
+++ b/modules/instance/services/UsageService.h
@@ -12,14 +12,14 @@
 
 namespace cuminrail {
 
-/** Returns calendar time since 1970 in UTC; names usage windows and nothing else. */
+/** Returns calendar time since 1970 in UTC; used only for usage windows and new incarnations. */
 Millis calendarNow();
 
 /**
-    Counts what this instance's requests used, per team, and keeps the store informed.
+    Counts the usage of this instance's requests per team and flushes the counters to the store.
 
-    Request threads add to a list under a lock that is held for an append; the control thread
-    takes the list ten times a second.
+    Request threads append to a list under a lock that is held only for the append; the control
+    thread drains the list ten times per second.
 */
 class UsageService
 {
@@ -30,11 +30,11 @@
     UsageService &operator=(const UsageService &) = delete;
 
 private:
-    void record(const UsageRecord &record);
+    void addRecord(const UsageRecord &record);
     void tick();
     void stopFlushers(std::function<void()> done);
     bool isFlushed() const;
-    UsageFlusher &flusher(const TeamId &team);
+    UsageFlusher &flusherOf(const TeamId &team);
 
     ControlPlane &control_;
     ObjectStore store_;
