--- a/modules/instance/Instance.cpp
+++ b/modules/instance/Instance.cpp
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr Millis stopHookLimit = Millis::seconds(10);
-constexpr Millis requestWatchInterval{50};
+constexpr Millis stopHookTimeout = Millis::seconds(10);
+constexpr Millis busyPollInterval{50};
 constexpr Millis tlsCheckInterval = Millis::seconds(2);
 
-std::uint64_t freshSeed()
+std::uint64_t randomSeed()
 {
     std::random_device device;
     return (static_cast<std::uint64_t>(device()) << 32) ^ device();
@@ -26,22 +26,22 @@
       admin_(control_, workers_, [this] { drain(); })
 {
     context_.events = std::move(events);
-    const InstanceConfig &settled = context_.config;
-    if (!settled.tlsCertificate.empty()) {
-        tls_ = std::make_unique<TlsFiles>(settled.tlsCertificate, settled.tlsKey);
+    const InstanceConfig &instanceConfig = context_.config;
+    if (!instanceConfig.tlsCertificate.empty()) {
+        tls_ = std::make_unique<TlsFiles>(instanceConfig.tlsCertificate, instanceConfig.tlsKey);
         control_.addTick(tlsCheckInterval, [this](Millis) { reloadTls(); });
     }
     const auto load = std::make_shared<ServerLoad>();
-    for (std::uint32_t i = 0; i < settled.threads; ++i)
+    for (std::uint32_t i = 0; i < instanceConfig.threads; ++i)
         workers_.push_back(
-            std::make_unique<RequestWorker>(context_, admission_, load, freshSeed()));
+            std::make_unique<RequestWorker>(context_, admission_, load, randomSeed()));
 }
 
 Instance::~Instance()
 {
     shutDown();
-    // Calls that were under way are ended by their owners' going; their handlers hold deadlines,
-    // which must go before the list that they are in.
+    // Destroying the objects that started a pending operation cancels it. The handlers of such
+    // operations hold deadlines, which must be destroyed before the deadline list they are in.
     control_.thread().runLeftovers();
 }
 
@@ -51,8 +51,8 @@
         worker->stop();
     control_.thread().stop();
     control_.thread().join();
-    // Operators' connections refer to the server, and their handlers wait in the loop: they go
-    // while both are there.
+    // Admin connections refer to the server, and their handlers are queued in the event loop:
+    // they are closed while both still exist.
     admin_.closeAll();
     control_.thread().runLeftovers();
     control_.end();
@@ -111,13 +111,13 @@
     if (context_.isStopping.exchange(true))
         return;
     context_.events(Event{&events::processStopping, {}});
-    drainEnd_ =
+    drainDeadline_ =
         control_.thread().deadlines().now() + context_.config.drainLag + context_.config.drainLimit;
-    // The balancer takes a while to see that this instance is not ready, and sends until then.
-    // What it sends must be served, or the planned stop has refused requests.
-    drainStep_ =
+    // The load balancer notices with a delay that this instance is not ready and sends requests
+    // until then. They must be served; otherwise a planned stop would refuse requests.
+    drainTimer_ =
         std::make_unique<Deadline>(control_.thread().deadlines(), [this] { stopListening(); });
-    drainStep_->setAfter(context_.config.drainLag);
+    drainTimer_->setAfter(context_.config.drainLag);
 }
 
 void Instance::stopListening()
@@ -128,33 +128,34 @@
             server.stopListening();
         });
     }
-    drainStep_ =
-        std::make_unique<Deadline>(control_.thread().deadlines(), [this] { watchRequests(); });
-    drainStep_->setAfter(requestWatchInterval);
+    drainTimer_ =
+        std::make_unique<Deadline>(control_.thread().deadlines(), [this] { countBusyRequests(); });
+    drainTimer_->setAfter(busyPollInterval);
 }
 
-void Instance::watchRequests()
+void Instance::countBusyRequests()
 {
-    struct Tally
+    struct BusyCount
     {
         std::atomic<std::size_t> pending{0};
         std::atomic<std::size_t> busy{0};
     };
-    const auto tally = std::make_shared<Tally>();
-    tally->pending = workers_.size();
+    const auto count = std::make_shared<BusyCount>();
+    count->pending = workers_.size();
     for (const auto &worker : workers_) {
-        worker->post([this, tally, &each = *worker] {
-            tally->busy += each.server().busyConnections() + each.counters().inProgress.load();
-            if (--tally->pending == 0)
-                control_.thread().post([this, tally] { requestsCounted(tally->busy); });
+        worker->post([this, count, &requestWorker = *worker] {
+            count->busy += requestWorker.server().busyConnections()
+                + requestWorker.counters().inProgress.load();
+            if (--count->pending == 0)
+                control_.thread().post([this, count] { handleBusyCount(count->busy); });
         });
     }
 }
 
-void Instance::requestsCounted(std::size_t busy)
+void Instance::handleBusyCount(std::size_t busy)
 {
-    if (busy > 0 && control_.thread().deadlines().now() < drainEnd_) {
-        drainStep_->setAfter(requestWatchInterval);
+    if (busy > 0 && control_.thread().deadlines().now() < drainDeadline_) {
+        drainTimer_->setAfter(busyPollInterval);
         return;
     }
     cutAtStop_ = busy;
@@ -165,21 +166,21 @@
 {
     for (const auto &worker : workers_)
         worker->post([&server = worker->server()] { server.closeIdle(); });
-    control_.runStopHooks(stopHookLimit, [this] { stopped(); });
+    control_.runStopHooks(stopHookTimeout, [this] { finishStop(); });
 }
 
-void Instance::stopped()
+void Instance::finishStop()
 {
     context_.events(Event{&events::processStopped, {{"cut", std::to_string(cutAtStop_)}}});
     const std::lock_guard<std::mutex> lock(mutex_);
     isStopped_ = true;
-    changed_.notify_all();
+    stopCompleted_.notify_all();
 }
 
 void Instance::wait()
 {
     std::unique_lock<std::mutex> lock(mutex_);
-    changed_.wait(lock, [this] { return isStopped_; });
+    stopCompleted_.wait(lock, [this] { return isStopped_; });
 }
 
 bool Instance::isStopped() const
--- a/modules/instance/Instance.h
+++ b/modules/instance/Instance.h
@@ -15,7 +15,7 @@
 namespace cuminrail {
 
 /**
-    One instance: request threads, the control thread, and the operators' address.
+    One instance: its request threads, its control thread and its admin server.
 
     @code
     Instance instance(config, log.sink());
@@ -32,7 +32,7 @@
     Instance(const Instance &) = delete;
     Instance &operator=(const Instance &) = delete;
 
-    /** What runs beside the request path registers here, before start(). */
+    /** Services outside the request path register their hooks here, before start(). */
     ControlPlane &control() { return control_; }
     ServingContext &context() { return context_; }
     AdmissionDesk &admission() { return admission_; }
@@ -42,30 +42,31 @@
     std::uint16_t port() const;
     std::uint16_t adminPort() const { return admin_.port(); }
 
-    /** Puts settings in force and waits until all request threads see them. Not on the control
-        thread. */
+    /** Publishes settings and waits until all request threads see them. Must not be called on the
+        control thread. */
     void publish(const Settings &settings);
 
-    /** Begins the graceful stop; safe from any thread, and more than once. */
+    /** Begins the graceful stop. May be called from any thread and more than once. */
     void drain();
-    /** Returns when the graceful stop is over. */
+    /** Blocks until the graceful stop has completed. */
     void wait();
-    /** Reads changed certificate files now instead of at the next check. Control thread. */
+    /** Reloads changed certificate files now instead of at the next check. Control thread only. */
     void reloadTls();
-    /** Ends all threads. Signal handlers and the like on the control loop must outlive this. */
+    /** Ends all threads. Handlers on the control loop, such as those for signals, must outlive
+        this call. */
     void shutDown();
-    /** Returns true once the graceful stop is over. */
+    /** Returns true once the graceful stop has completed. */
     bool isStopped() const;
-    /** Returns how many connections were still at work when the drain's limit ended it. */
+    /** Returns how many connections were still busy when the drain limit expired. */
     std::size_t cutAtStop() const { return cutAtStop_; }
 
 private:
     void beginDrain();
     void stopListening();
-    void watchRequests();
-    void requestsCounted(std::size_t busy);
+    void countBusyRequests();
+    void handleBusyCount(std::size_t busy);
     void endDrain();
-    void stopped();
+    void finishStop();
 
     ServingContext context_;
     AdmissionDesk admission_;
@@ -73,11 +74,11 @@
     std::unique_ptr<TlsFiles> tls_;
     std::vector<std::unique_ptr<RequestWorker>> workers_;
     AdminServer admin_;
-    std::unique_ptr<Deadline> drainStep_;
-    Millis drainEnd_ = Millis::never();
+    std::unique_ptr<Deadline> drainTimer_;
+    Millis drainDeadline_ = Millis::never();
     std::size_t cutAtStop_ = 0;
     mutable std::mutex mutex_;
-    std::condition_variable changed_;
+    std::condition_variable stopCompleted_;
     bool isStopped_ = false;
 };
 
--- a/modules/instance/control/ControlPlane.cpp
+++ b/modules/instance/control/ControlPlane.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr Millis admissionTick{10};
-constexpr Millis capacityTick{250};
-constexpr Millis pollPeriod{50};
+constexpr Millis admissionTickInterval{10};
+constexpr Millis capacityRefreshInterval{250};
+constexpr Millis pollInterval{50};
 
 } // namespace
 
@@ -23,25 +23,25 @@
     : context_(context), admission_(admission), thread_(context.config.deadlineTick),
       builder_(context.config.failureDomain)
 {
-    addTick(admissionTick, [this](Millis now) { admission_.tick(now); });
-    addTick(capacityTick, [this](Millis) { refreshCapacity(); });
+    addTick(admissionTickInterval, [this](Millis now) { admission_.tick(now); });
+    addTick(capacityRefreshInterval, [this](Millis) { refreshCapacity(); });
     addReadiness("settings", [this] { return hasSettings_; });
     addReadiness("not-stopping", [this] { return !context_.isStopping.load(); });
     addReadiness("current-keys", [this] { return !context_.isStale.load(); });
 }
 
-void ControlPlane::addTick(Millis every, std::function<void(Millis now)> hook)
+void ControlPlane::addTick(Millis interval, std::function<void(Millis now)> hook)
 {
     auto tick = std::make_shared<Tick>();
-    tick->every = every;
+    tick->interval = interval;
     tick->hook = std::move(hook);
     tick->timer = std::make_unique<boost::asio::steady_timer>(thread_.io());
     ticks_.push_back(std::move(tick));
 }
 
-void ControlPlane::addReadiness(std::string name, std::function<bool()> holds)
+void ControlPlane::addReadiness(std::string name, std::function<bool()> isSatisfied)
 {
-    readiness_.push_back({std::move(name), std::move(holds)});
+    readiness_.push_back({std::move(name), std::move(isSatisfied)});
 }
 
 void ControlPlane::addState(std::string name, std::function<nlohmann::json()> describe)
@@ -56,59 +56,59 @@
         for (const auto &hook : startHooks_)
             hook();
         for (const auto &tick : ticks_)
-            arm(tick);
+            scheduleTick(tick);
     });
 }
 
-void ControlPlane::arm(const std::shared_ptr<Tick> &tick)
+void ControlPlane::scheduleTick(const std::shared_ptr<Tick> &tick)
 {
-    tick->timer->expires_after(std::chrono::milliseconds(tick->every.count()));
+    tick->timer->expires_after(std::chrono::milliseconds(tick->interval.count()));
     tick->timer->async_wait([this, tick](const boost::system::error_code &error) {
-        if (error || isOver_)
+        if (error || hasEnded_)
             return;
         tick->hook(thread_.deadlines().now());
-        arm(tick);
+        scheduleTick(tick);
     });
 }
 
 void ControlPlane::end()
 {
-    isOver_ = true;
+    hasEnded_ = true;
     onStopHooksDone_ = nullptr;
     stopDeadline_.reset();
 }
 
-void ControlPlane::pollUntil(std::function<bool()> isReached, std::function<void()> done)
+void ControlPlane::pollUntil(std::function<bool()> condition, std::function<void()> done)
 {
-    if (isReached())
+    if (condition())
         return done();
     auto timer = std::make_shared<boost::asio::steady_timer>(thread_.io());
-    timer->expires_after(std::chrono::milliseconds(pollPeriod.count()));
-    timer->async_wait([this, timer, isReached = std::move(isReached),
+    timer->expires_after(std::chrono::milliseconds(pollInterval.count()));
+    timer->async_wait([this, timer, condition = std::move(condition),
                        done = std::move(done)](const boost::system::error_code &error) {
-        if (!error && !isOver_)
-            pollUntil(isReached, done);
+        if (!error && !hasEnded_)
+            pollUntil(condition, done);
     });
 }
 
-void ControlPlane::runStopHooks(Millis atMost, std::function<void()> done)
+void ControlPlane::runStopHooks(Millis timeout, std::function<void()> done)
 {
     onStopHooksDone_ = std::move(done);
-    stopDeadline_ = std::make_unique<Deadline>(thread_.deadlines(), [this] { stopHooksDone(); });
-    stopDeadline_->setAfter(atMost);
+    stopDeadline_ = std::make_unique<Deadline>(thread_.deadlines(), [this] { finishStopHooks(); });
+    stopDeadline_->setAfter(timeout);
     runStopHook(0);
 }
 
 void ControlPlane::runStopHook(std::size_t index)
 {
     if (index == stopHooks_.size())
-        return stopHooksDone();
+        return finishStopHooks();
     stopHooks_[index]([this, index] {
         boost::asio::post(thread_.io(), [this, index] { runStopHook(index + 1); });
     });
 }
 
-void ControlPlane::stopHooksDone()
+void ControlPlane::finishStopHooks()
 {
     if (!onStopHooksDone_)
         return;
@@ -122,37 +122,38 @@
 {
     builder_.setSettings(std::move(settings));
     hasSettings_ = true;
-    republish();
+    publishSnapshot();
 }
 
 void ControlPlane::setInstanceCount(std::size_t count)
 {
-    const std::size_t atLeastOne = std::max<std::size_t>(count, 1);
-    if (instanceCount_ == atLeastOne)
+    const std::size_t newCount = std::max<std::size_t>(count, 1);
+    if (instanceCount_ == newCount)
         return;
-    instanceCount_ = atLeastOne;
+    instanceCount_ = newCount;
     if (hasSettings_)
-        republish();
+        publishSnapshot();
 }
 
 void ControlPlane::publishFacts(FleetState facts)
 {
     builder_.setFacts(std::move(facts));
     if (hasSettings_)
-        republish();
+        publishSnapshot();
 }
 
 void ControlPlane::publishWithdrawn(std::set<KeyHash> keys)
 {
     builder_.setWithdrawnAhead(std::move(keys));
     if (hasSettings_)
-        republish();
+        publishSnapshot();
 }
 
-void ControlPlane::republish()
+void ControlPlane::publishSnapshot()
 {
     auto snapshot = builder_.build();
-    // Admission first: a request that is routed by the new table must find its customer there.
+    // Admission is configured first: a request routed by the new table must find its customer in
+    // the admission controller.
     configureAdmission(thread_.deadlines().now());
     context_.snapshot.publish(std::move(snapshot));
     refreshCapacity();
@@ -167,21 +168,22 @@
         [&](AdmissionController &controller) { controller.configure(settings, now); });
 }
 
-// Each instance taking a pool's whole capacity would let in as many times too much as there are
-// instances, and the queues would stand at the engines, where nobody is fair. A fixed share would
-// leave capacity idle whenever callers are not spread evenly; so what is free goes to who asks.
+// If each instance admitted up to a pool's total capacity, N instances would admit N times too
+// much, and requests would queue at the engines, which do not schedule them fairly. A fixed share
+// for each instance would leave capacity idle whenever callers are spread unevenly. Free capacity
+// therefore goes to the instances that have demand for it.
 void ControlPlane::refreshCapacity()
 {
     const RcuReadScope scope;
     const RoutingTable &table = context_.snapshot.get(scope).routing;
     const auto instances = static_cast<double>(instanceCount_);
     for (PoolIndex pool = 0; pool < table.poolCount(); ++pool) {
-        const PoolCapacity whole = table.capacity(pool);
+        const PoolCapacity total = table.capacity(pool);
         const PoolLoad used = poolLoad(table, context_.loads, pool);
         admission_.withController([&](AdmissionController &controller) {
-            const AdmissionCapacity capacity{whole.slots, whole.prefillTokensPerSecond,
-                                             whole.decodeTokensPerSecond,
-                                             whole.enginePrefillTokensPerSecond};
+            const AdmissionCapacity capacity{total.slots, total.prefillTokensPerSecond,
+                                             total.decodeTokensPerSecond,
+                                             total.enginePrefillTokensPerSecond};
             controller.setCapacity(pool,
                                    instanceCapacity(capacity, {used.requests, used.promptTokens},
                                                     controller.use(pool), instances));
@@ -193,7 +195,7 @@
 {
     std::vector<std::string> missing;
     for (const Readiness &readiness : readiness_) {
-        if (!readiness.holds())
+        if (!readiness.isSatisfied())
             missing.push_back(readiness.name);
     }
     return missing;
@@ -201,10 +203,10 @@
 
 nlohmann::json ControlPlane::describe() const
 {
-    nlohmann::json all = nlohmann::json::object();
+    nlohmann::json sections = nlohmann::json::object();
     for (const State &state : states_)
-        all[state.name] = state.describe();
-    return all;
+        sections[state.name] = state.describe();
+    return sections;
 }
 
 } // namespace cuminrail
--- a/modules/instance/control/ControlPlane.h
+++ b/modules/instance/control/ControlPlane.h
@@ -16,16 +16,16 @@
 namespace cuminrail {
 
 /**
-    The control thread of an instance, and what is hung on it.
+    The control thread of an instance and the hooks registered on it.
 
-    State machines for leases, membership, configuration and so on register here before start():
-    what to do at the start, at intervals, and at a planned stop; whether they are ready; what
-    they show operators. Everything registered runs on the control thread alone.
+    State machines for leases, membership, configuration and so on register their hooks here
+    before start(): for the start, for regular intervals and for a planned stop, as readiness
+    checks, and as sections of the state page. All hooks run on the control thread only.
 */
 class ControlPlane
 {
 public:
-    /** Called with what to call when done. */
+    /** Receives a callback that it must call when it has finished. */
     using StopHook = std::function<void(std::function<void()> done)>;
 
     ControlPlane(ServingContext &context, AdmissionDesk &admission);
@@ -33,35 +33,35 @@
     ControlPlane &operator=(const ControlPlane &) = delete;
 
     void addStartHook(std::function<void()> hook) { startHooks_.push_back(std::move(hook)); }
-    /** Runs at a planned stop, after the last request; hooks run one after the other. */
+    /** Adds a hook for a planned stop. Hooks run in sequence, after the last request. */
     void addStopHook(StopHook hook) { stopHooks_.push_back(std::move(hook)); }
-    void addTick(Millis every, std::function<void(Millis now)> hook);
-    /** Names something that must hold before the instance counts as ready. */
-    void addReadiness(std::string name, std::function<bool()> holds);
-    /** Adds an object to GET /state; never with keys, prompts or answers in it. */
+    void addTick(Millis interval, std::function<void(Millis now)> hook);
+    /** Adds a named condition that must hold for the instance to report itself ready. */
+    void addReadiness(std::string name, std::function<bool()> isSatisfied);
+    /** Adds an object to GET /state. It must not contain keys, prompts or responses. */
     void addState(std::string name, std::function<nlohmann::json()> describe);
 
     void start();
-    /** Runs the stop hooks, at most for the given time, then calls done on this thread. */
-    void runStopHooks(Millis atMost, std::function<void()> done);
+    /** Runs the stop hooks, then calls done on this thread, at the latest after the time-out. */
+    void runStopHooks(Millis timeout, std::function<void()> done);
 
     /**
-        Forgets all that is registered, once the thread has ended.
+        Disables timers and stop hooks after the thread has ended.
 
-        Timers that are due would otherwise call into services that are gone.
+        Otherwise timers that are due would call into services that are already destroyed.
     */
     void end();
 
-    // On the control thread alone:
-    /** Asks again and again until a condition holds, then calls done. For stop hooks. */
-    void pollUntil(std::function<bool()> isReached, std::function<void()> done);
-    /** Puts a checked settings tree in force on all request threads. */
+    // Only on the control thread:
+    /** Polls a condition until it holds, then calls done. For stop hooks. */
+    void pollUntil(std::function<bool()> condition, std::function<void()> done);
+    /** Publishes a validated settings tree to all request threads. */
     void publish(Settings settings);
-    /** Puts new knowledge of engines and leaving upstreams in force. */
+    /** Publishes changed state of engines and of upstreams that are leaving. */
     void publishFacts(FleetState facts);
-    /** Makes withdrawn keys stop working ahead of the settings that say so. */
+    /** Rejects withdrawn keys before the settings that withdraw them have arrived. */
     void publishWithdrawn(std::set<KeyHash> keys);
-    /** Sets among how many instances the upstreams' capacity is divided. */
+    /** Sets the number of instances that share the capacity of the upstreams. */
     void setInstanceCount(std::size_t count);
     bool hasSettings() const { return hasSettings_; }
     std::vector<std::string> missingForReadiness() const;
@@ -75,14 +75,14 @@
 private:
     struct Tick
     {
-        Millis every;
+        Millis interval;
         std::function<void(Millis)> hook;
         std::unique_ptr<boost::asio::steady_timer> timer;
     };
     struct Readiness
     {
         std::string name;
-        std::function<bool()> holds;
+        std::function<bool()> isSatisfied;
     };
     struct State
     {
@@ -90,10 +90,10 @@
         std::function<nlohmann::json()> describe;
     };
 
-    void arm(const std::shared_ptr<Tick> &tick);
+    void scheduleTick(const std::shared_ptr<Tick> &tick);
     void runStopHook(std::size_t index);
-    void stopHooksDone();
-    void republish();
+    void finishStopHooks();
+    void publishSnapshot();
     void configureAdmission(Millis now);
     void refreshCapacity();
 
@@ -102,7 +102,7 @@
     IoThread thread_;
     SnapshotBuilder builder_;
     bool hasSettings_ = false;
-    bool isOver_ = false;
+    bool hasEnded_ = false;
     std::size_t instanceCount_ = 1;
     std::vector<std::function<void()>> startHooks_;
     std::vector<StopHook> stopHooks_;
--- a/modules/instance/instance.h
+++ b/modules/instance/instance.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /**
-    One instance of cuminrail: the request path on sockets, and the thread that controls it.
+    One instance of cuminrail: the request path on sockets and its control thread.
 
-    Purpose: request threads that carry callers' requests to upstreams and answers back, reading
-    snapshots without locks; a control thread that publishes snapshots and holds everything that
-    instances decide together; the operators' address; flags and the graceful stop.
+    Purpose: request threads that forward callers' requests to upstreams and return the responses,
+    reading snapshots without locks; a control thread that publishes snapshots and runs all
+    coordination between instances; the admin server; flags and the graceful stop.
 
     Depends on: core, ports, settings, identity, dispatch, admission, routing, lease, orders,
     usage, capacity, membership, configsync, runtime, net, platform, peerlink, prometheus-cpp.
--- a/modules/instance/serving/AdmissionDesk.cpp
+++ b/modules/instance/serving/AdmissionDesk.cpp
@@ -16,33 +16,33 @@
 void AdmissionDesk::firstToken(AdmissionTicket ticket, Millis now)
 {
     std::unique_lock<std::mutex> lock(mutex_);
-    deliver(controller_.firstToken(ticket, now), lock);
+    notifyWaiting(controller_.firstToken(ticket, now), lock);
 }
 
 void AdmissionDesk::finished(AdmissionTicket ticket, std::uint32_t outputTokens, Millis now)
 {
     std::unique_lock<std::mutex> lock(mutex_);
-    deliver(controller_.finished(ticket, outputTokens, now), lock);
+    notifyWaiting(controller_.finished(ticket, outputTokens, now), lock);
 }
 
 void AdmissionDesk::cancel(AdmissionTicket ticket, Millis now)
 {
     std::unique_lock<std::mutex> lock(mutex_);
     waiting_.erase(ticket);
-    deliver(controller_.cancel(ticket, now), lock);
+    notifyWaiting(controller_.cancel(ticket, now), lock);
 }
 
 void AdmissionDesk::addCredit(CustomerIndex customer, const LocalShare &credit, Millis now)
 {
     std::unique_lock<std::mutex> lock(mutex_);
     const AdmissionChanges changes = controller_.addCredit(customer, credit, now);
-    deliver(changes, lock);
+    notifyWaiting(changes, lock);
 }
 
 void AdmissionDesk::tick(Millis now)
 {
     std::unique_lock<std::mutex> lock(mutex_);
-    deliver(controller_.tick(now), lock);
+    notifyWaiting(controller_.tick(now), lock);
 }
 
 void AdmissionDesk::withController(const std::function<void(AdmissionController &)> &function)
@@ -51,10 +51,11 @@
     function(controller_);
 }
 
-void AdmissionDesk::deliver(const AdmissionChanges &changes, std::unique_lock<std::mutex> &lock)
+void AdmissionDesk::notifyWaiting(const AdmissionChanges &changes,
+                                  std::unique_lock<std::mutex> &lock)
 {
     std::vector<std::pair<WaitHook, AdmissionEnd>> ends;
-    const auto take = [&](AdmissionTicket ticket, const AdmissionEnd &end) {
+    const auto collect = [&](AdmissionTicket ticket, const AdmissionEnd &end) {
         const auto found = waiting_.find(ticket);
         if (found == waiting_.end())
             return;
@@ -62,9 +63,9 @@
         waiting_.erase(found);
     };
     for (const AdmissionTicket ticket : changes.admitted)
-        take(ticket, AdmissionEnd{true, RefusalCode::Overloaded, Millis(0)});
+        collect(ticket, AdmissionEnd{true, RefusalCode::Overloaded, Millis(0)});
     for (const RefusedTicket &refused : changes.refused)
-        take(refused.ticket, AdmissionEnd{false, refused.code, refused.retryAfter});
+        collect(refused.ticket, AdmissionEnd{false, refused.code, refused.retryAfter});
     lock.unlock();
     for (const auto &[hook, end] : ends)
         hook(end);
--- a/modules/instance/serving/AdmissionDesk.h
+++ b/modules/instance/serving/AdmissionDesk.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** The end of a wait for admission. */
+/** The outcome of waiting for admission. */
 struct AdmissionEnd
 {
     bool isAdmitted = false;
@@ -17,10 +17,11 @@
 };
 
 /**
-    The admission controller as request threads share it: one mutex, held for microseconds.
+    Thread-safe access to the admission controller, shared by all request threads. One mutex
+    guards it and is held for microseconds.
 
-    Whoever waits leaves a hook, which is called once with the lock released, on whichever thread
-    made the change; the hook hands over to its own thread.
+    A queued request registers a hook, which is called once, without the lock, on the thread that
+    caused the change. The hook must post to the request's own thread.
 */
 class AdmissionDesk
 {
@@ -31,22 +32,22 @@
     AdmissionDesk(const AdmissionDesk &) = delete;
     AdmissionDesk &operator=(const AdmissionDesk &) = delete;
 
-    /** Submits a request; the hook is kept only if the decision is Queued. */
+    /** Submits a request. The hook is stored only if the decision is Queued. */
     AdmissionDecision submit(const AdmissionRequest &request, Millis now, WaitHook onEnd);
     void firstToken(AdmissionTicket ticket, Millis now);
     void finished(AdmissionTicket ticket, std::uint32_t outputTokens, Millis now);
-    /** Gives up a ticket that waits or runs; its hook is not called any more. */
+    /** Cancels a waiting or running ticket. Its hook is no longer called. */
     void cancel(AdmissionTicket ticket, Millis now);
-    /** Adds credit that another instance handed over, and admits whom it lets through. */
+    /** Adds credit transferred by another instance and admits the requests that it covers. */
     void addCredit(CustomerIndex customer, const LocalShare &credit, Millis now);
-    /** Control thread, every 10 ms or so. */
+    /** Called on the control thread about every 10 ms. */
     void tick(Millis now);
 
-    /** Calls a function with the controller under the lock: settings, shares, figures. */
+    /** Calls a function with the controller locked, for settings, shares and statistics. */
     void withController(const std::function<void(AdmissionController &)> &function);
 
 private:
-    void deliver(const AdmissionChanges &changes, std::unique_lock<std::mutex> &lock);
+    void notifyWaiting(const AdmissionChanges &changes, std::unique_lock<std::mutex> &lock);
 
     std::mutex mutex_;
     AdmissionController controller_;
--- a/modules/instance/serving/ClaimHooks.h
+++ b/modules/instance/serving/ClaimHooks.h
@@ -7,10 +7,11 @@
 namespace cuminrail {
 
 /**
-    How request threads reach the claims that the control thread keeps.
+    Access of request threads to the claims that are managed on the control thread.
 
-    Both may be called from any request thread; begin() answers once, on any thread. Without them
-    every call that needs a claim is refused as claims_unavailable.
+    Both hooks may be called from any request thread. begin() calls its completion once, on any
+    thread. If the hooks are not set, each call that needs a claim is refused as
+    claims_unavailable.
 */
 struct ClaimHooks
 {
--- a/modules/instance/serving/RequestCounters.h
+++ b/modules/instance/serving/RequestCounters.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** Counts of one request thread: written there alone, read by the operators' address. */
+/** Counters of one request thread: written only by that thread, read by the admin server. */
 struct RequestCounters
 {
     using Count = std::atomic<std::uint64_t>;
@@ -33,7 +33,7 @@
     std::array<Count, bucketBounds.size() + 1> firstByte{};
     Count firstByteSumMs{0};
 
-    /** Adds to a count that only this thread writes: no locked instruction needed. */
+    /** Adds to a counter. Only this thread writes it, so no locked instruction is needed. */
     static void add(Count &count, std::uint64_t by = 1)
     {
         count.store(count.load(std::memory_order_relaxed) + by, std::memory_order_relaxed);
--- a/modules/instance/serving/ServingContext.h
+++ b/modules/instance/serving/ServingContext.h
@@ -17,7 +17,8 @@
 
 namespace cuminrail {
 
-/** What all request threads of an instance share; each part says how it may be used at once. */
+/** State shared by all request threads of an instance. The type of each member documents its
+    thread safety. */
 struct ServingContext
 {
     explicit ServingContext(InstanceConfig instanceConfig) : config(std::move(instanceConfig)) { }
@@ -28,16 +29,17 @@
     RcuCell<ServingSnapshot> snapshot{std::make_unique<ServingSnapshot>()};
     LiveLoads loads;
     PrefixHints hints;
-    /** Instances that sample alike would send to the same upstreams at the same moment. */
+    /** The seed differs by instance: instances that sample with the same seed would send to the
+        same upstreams at the same moment. */
     Router router{loads, hints, RouterOptions(), nameHash(config.instanceId.text())};
     RetryBudget retryBudget;
-    /** Set before the threads start, never after. */
+    /** Must be set before the threads start and not changed afterwards. */
     ClaimHooks claims;
     UsageHook onUsage;
-    /** For tests: cuts attempts at chosen points; called on any request thread. */
+    /** For tests: aborts attempts at chosen points. Called on any request thread. */
     SendFaultHook sendFault;
     EventSink events = ignoreEvents();
-    /** Set while the instance has not known for too long which keys are withdrawn. */
+    /** True while the information on withdrawn keys is older than the staleness limit. */
     std::atomic<bool> isStale{false};
     std::atomic<bool> isStopping{false};
 };
--- a/modules/instance/serving/ServingSnapshot.h
+++ b/modules/instance/serving/ServingSnapshot.h
@@ -9,7 +9,7 @@
 
 namespace cuminrail {
 
-/** What a request's size may be, for one model. */
+/** Limits on the size of a request for one model. */
 struct ModelRules
 {
     std::uint32_t maxPromptTokens = 0;
@@ -17,22 +17,23 @@
 };
 
 /**
-    Everything that request threads read of settings and membership: immutable, and one pointer.
+    All settings and membership data that request threads read, immutable and published through
+    one pointer.
 
-    A request thread reads keys and routes from the same snapshot, so that a key is never matched
-    against one version and its customer's rights against another.
+    A request thread reads keys and routes from the same snapshot. A key is therefore never
+    matched against one version and the permissions of its customer against another.
 */
 struct ServingSnapshot
 {
-    /** Rises with each snapshot that this process publishes. */
+    /** Increases with each snapshot that this process publishes. */
     std::uint64_t generation = 0;
     RoutingTable routing;
     KeyRing keys;
-    /** By PoolIndex; zeros for plain services. */
+    /** Indexed by PoolIndex; zeros for plain services. */
     std::vector<ModelRules> models;
-    /** By TeamIndex. */
+    /** Indexed by TeamIndex. */
     std::vector<TeamId> teams;
-    /** The failure domain of this instance, or noIndex if settings do not know it. */
+    /** The failure domain of this instance, or noIndex if it is not in the settings. */
     DomainIndex ownDomain = noIndex;
 };
 
--- a/modules/instance/serving/SnapshotBuilder.h
+++ b/modules/instance/serving/SnapshotBuilder.h
@@ -10,9 +10,9 @@
 namespace cuminrail {
 
 /**
-    Puts together the next snapshot from what the control thread knows. Control thread.
+    Builds the next snapshot from the current state of the control thread. Control thread only.
 
-    Each setter takes one kind of knowledge; build() makes the snapshot of all of them.
+    Each setter replaces one input; build() combines all of them into a snapshot.
 */
 class SnapshotBuilder
 {
@@ -21,7 +21,7 @@
 
     void setSettings(Settings settings) { settings_ = std::move(settings); }
     void setFacts(FleetState facts) { facts_ = std::move(facts); }
-    /** Keys that other instances reported withdrawn ahead of the settings. */
+    /** Sets the keys that other instances reported as withdrawn before the settings did. */
     void setWithdrawnAhead(std::set<KeyHash> keys) { withdrawnAhead_ = std::move(keys); }
 
     std::unique_ptr<const ServingSnapshot> build();
--- a/modules/instance/serving/UsageRecord.h
+++ b/modules/instance/serving/UsageRecord.h
@@ -9,7 +9,7 @@
 
 namespace cuminrail {
 
-/** What one finished request used, for the customer's bill. */
+/** The resource usage of one finished request, for billing its customer. */
 struct UsageRecord
 {
     CustomerId customer;
@@ -21,7 +21,7 @@
     std::uint64_t outputTokens = 0;
 };
 
-/** Called once for every request that ran or may have run, on its request thread. */
+/** Called once on its request thread for each request that ran or may have run. */
 using UsageHook = std::function<void(const UsageRecord &)>;
 
 } // namespace cuminrail
