--- a/modules/instance/Instance_test.cpp
+++ b/modules/instance/Instance_test.cpp
@@ -20,7 +20,7 @@
 
 using Connection = ScriptedUpstream::Connection;
 
-/** A directory that is gone with the test. */
+/** A directory that is removed at the end of the test. */
 class TemporaryDirectory
 {
 public:
@@ -61,13 +61,13 @@
     EVP_PKEY_free(key);
 }
 
-struct TlsAnswer
+struct TlsResponse
 {
     std::string text;
     std::string certificateName;
 };
 
-TlsAnswer askOverTls(std::uint16_t port, const std::string &request)
+TlsResponse requestOverTls(std::uint16_t port, const std::string &request)
 {
     namespace ssl = boost::asio::ssl;
     boost::asio::io_context io;
@@ -76,16 +76,16 @@
     stream.next_layer().connect({boost::asio::ip::address_v4::loopback(), port});
     stream.handshake(ssl::stream_base::client);
     boost::asio::write(stream, boost::asio::buffer(request));
-    TlsAnswer answer;
+    TlsResponse response;
     boost::system::error_code error;
-    boost::asio::read_until(stream, boost::asio::dynamic_buffer(answer.text), "\"list\"}", error);
+    boost::asio::read_until(stream, boost::asio::dynamic_buffer(response.text), "\"list\"}", error);
     X509 *certificate = SSL_get1_peer_certificate(stream.native_handle());
     char name[64] = {};
     X509_NAME_get_text_by_NID(X509_get_subject_name(certificate), NID_commonName, name,
                               sizeof name);
     X509_free(certificate);
-    answer.certificateName = name;
-    return answer;
+    response.certificateName = name;
+    return response;
 }
 
 bool isReady(const RunningInstance &running)
@@ -95,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("operators see health, readiness, metrics and state")
+TEST_CASE("the admin server serves health, readiness, metrics and state")
 {
     ScriptedUpstream engine(engineScript);
     RunningInstance running(testSettings({engine.address()}, {}));
@@ -113,7 +113,7 @@
     CHECK(contains(running.admin("GET", "/drain"), "405 Method Not Allowed"));
 }
 
-TEST_CASE("an instance without settings is not ready and lets nobody in")
+TEST_CASE("an instance without settings is not ready and refuses callers")
 {
     Instance instance(testConfig(), ignoreEvents());
     Reason reason;
@@ -126,9 +126,9 @@
     CHECK(contains(caller.readMessage(), "HTTP/1.1 401 "));
 }
 
-// An instance is replaced while streams run and while the balancer, which has not noticed yet,
-// still sends new requests. None of them may be cut or refused.
-TEST_CASE("a planned stop cuts no request")
+// Guards against requests cut or refused when an instance is replaced: streams are running, and
+// the load balancer still sends new requests until it notices that the instance is not ready.
+TEST_CASE("a planned stop neither cuts nor refuses requests")
 {
     Signal draining;
     Signal finishNow;
@@ -163,9 +163,9 @@
 
     CHECK(contains(running.admin("POST", "/drain"), "202 Accepted"));
     CHECK_FALSE(isReady(running));
-    // Within the balancer's lag new connections are served as ever.
+    // During the drain lag, new connections are served as before.
     CHECK(contains(running.ask(completion(streamBody)), "[DONE]"));
-    // Afterwards nobody can connect; what is open is served and told to go.
+    // Afterwards new connections are refused. Open ones are served with "Connection: close".
     while (running.connect().isOpen()) { }
     idle.send(request("GET", "/v1/models", northKey));
     CHECK(contains(idle.readToEnd(), "Connection: close"));
@@ -177,9 +177,10 @@
     CHECK(running.instance.cutAtStop() == 0);
 }
 
-// A stream never ends, and the machine has to go. The stop is bounded and says what it cut; the
-// caller can tell its answer from a whole one.
-TEST_CASE("a planned stop is bounded")
+// Guards against a stream that never ends blocking the stop of an instance. The stop ends after
+// the drain limit and reports how many connections it cut; the caller can tell that its response
+// is incomplete.
+TEST_CASE("a planned stop ends after the drain limit")
 {
     ScriptedUpstream engine([&](Connection &connection) {
         const std::string id = connection.read().header("X-Request-Id");
@@ -196,14 +197,14 @@
     running->instance.wait();
     CHECK(running->instance.cutAtStop() > 0);
     running.reset();
-    const std::string answer = streaming.readToEnd();
-    CHECK_FALSE(contains(answer, "[DONE]"));
-    CHECK_FALSE(contains(answer, "\r\n0\r\n\r\n"));
+    const std::string response = streaming.readToEnd();
+    CHECK_FALSE(contains(response, "[DONE]"));
+    CHECK_FALSE(contains(response, "\r\n0\r\n\r\n"));
 }
 
-// A certificate is renewed while the instance runs, one file after the other. Until both are new
-// the former pair must serve on.
-TEST_CASE("new certificate files take effect without a restart")
+// Guards against using a certificate and a key that do not match: on renewal the two files are
+// replaced one after the other. Until both are new, the previous pair must stay in use.
+TEST_CASE("renewed certificate files are loaded without a restart")
 {
     const TemporaryDirectory directory;
     const std::string certificate = directory.path / "cert.pem";
@@ -217,19 +218,19 @@
         running.instance.control().thread().run([&] { running.instance.reloadTls(); });
     };
     const std::string models = request("GET", "/v1/models", northKey);
-    const TlsAnswer before = askOverTls(running.instance.port(), models);
+    const TlsResponse before = requestOverTls(running.instance.port(), models);
     CHECK(contains(before.text, "200 OK"));
     CHECK(before.certificateName == "first");
 
     writeCertificate(certificate, directory.path / "next-key.pem", "second");
     reload();
-    CHECK(askOverTls(running.instance.port(), models).certificateName == "first");
+    CHECK(requestOverTls(running.instance.port(), models).certificateName == "first");
     std::filesystem::rename(directory.path / "next-key.pem", key);
     reload();
-    CHECK(askOverTls(running.instance.port(), models).certificateName == "second");
+    CHECK(requestOverTls(running.instance.port(), models).certificateName == "second");
 }
 
-TEST_CASE("an address that is taken or a missing certificate stops the start with a reason")
+TEST_CASE("start fails with a reason if an address is in use or a certificate is missing")
 {
     RunningInstance running(testSettings({closedAddress()}, {}));
     InstanceConfig config = testConfig();
--- a/modules/instance/admin/AdminServer.cpp
+++ b/modules/instance/admin/AdminServer.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-HttpResponse jsonAnswer(int status, const nlohmann::json &value)
+HttpResponse jsonResponse(int status, const nlohmann::json &value)
 {
     return {status, {{"Content-Type", "application/json"}}, value.dump() + "\n"};
 }
 
-HttpResponse problem(int status, const std::string &message)
+HttpResponse errorResponse(int status, const std::string &message)
 {
-    return jsonAnswer(status, {{"error", {{"message", message}}}});
+    return jsonResponse(status, {{"error", {{"message", message}}}});
 }
 
 } // namespace
@@ -25,16 +25,17 @@
                          std::vector<std::unique_ptr<RequestWorker>> &workers,
                          std::function<void()> drain)
     : control_(control), workers_(workers), drain_(std::move(drain)),
-      server_(
-          control.thread().io(), control.thread().deadlines(), HttpServerLimits{},
-          HttpServerHooks{
-              nullptr,
-              [this](const std::shared_ptr<HttpExchange> &exchange) {
-                  exchange->respond(answer(exchange->head()));
+      server_(control.thread().io(), control.thread().deadlines(), HttpServerLimits{},
+              HttpServerHooks{
+                  nullptr,
+                  [this](const std::shared_ptr<HttpExchange> &exchange) {
+                      exchange->respond(handleRequest(exchange->head()));
+                  },
+                  [](int status, const Reason &reason) {
+                      return errorResponse(status, reason.toString());
+                  },
               },
-              [](int status, const Reason &reason) { return problem(status, reason.toString()); },
-          },
-          std::make_shared<ServerLoad>())
+              std::make_shared<ServerLoad>())
 { }
 
 bool AdminServer::listen(const ListenAddress &address, Reason *lastReason)
@@ -42,33 +43,33 @@
     return server_.listen(address.address, address.port, false, lastReason);
 }
 
-HttpResponse AdminServer::answer(const HttpHead &head)
+HttpResponse AdminServer::handleRequest(const HttpHead &head)
 {
     const std::string_view path = head.path();
     if (path == "/drain") {
         if (head.method != "POST")
-            return problem(405, "only POST is allowed here");
+            return errorResponse(405, "only POST is allowed here");
         drain_();
-        return jsonAnswer(202, {{"draining", true}});
+        return jsonResponse(202, {{"draining", true}});
     }
     if (head.method != "GET" && head.method != "HEAD")
-        return problem(405, "only GET is allowed here");
+        return errorResponse(405, "only GET is allowed here");
     if (path == "/healthz")
-        return jsonAnswer(200, {{"healthy", true}});
+        return jsonResponse(200, {{"healthy", true}});
     if (path == "/readyz")
         return readiness();
     if (path == "/metrics")
         return metrics();
     if (path == "/state")
         return state();
-    return problem(404, "there is nothing at this path");
+    return errorResponse(404, "there is nothing at this path");
 }
 
 HttpResponse AdminServer::readiness() const
 {
     const auto missing = control_.missingForReadiness();
-    return jsonAnswer(missing.empty() ? 200 : 503,
-                      {{"ready", missing.empty()}, {"missing", missing}});
+    return jsonResponse(missing.empty() ? 200 : 503,
+                        {{"ready", missing.empty()}, {"missing", missing}});
 }
 
 HttpResponse AdminServer::metrics() const
@@ -85,7 +86,7 @@
 {
     nlohmann::json page = statePage(control_.context(), workers_);
     page.update(control_.describe());
-    return jsonAnswer(200, page);
+    return jsonResponse(200, page);
 }
 
 } // namespace cuminrail
--- a/modules/instance/admin/AdminServer.h
+++ b/modules/instance/admin/AdminServer.h
@@ -10,7 +10,8 @@
 
 namespace cuminrail {
 
-/** The operators' address: /healthz, /readyz, /metrics, /state, /drain. On the control thread. */
+/** The HTTP server for operators: /healthz, /readyz, /metrics, /state and /drain. Runs on the
+    control thread. */
 class AdminServer
 {
 public:
@@ -20,12 +21,12 @@
     AdminServer &operator=(const AdminServer &) = delete;
 
     bool listen(const ListenAddress &address, Reason *lastReason);
-    /** After the control thread has ended: drops all connections. */
+    /** Closes all connections. Only after the control thread has ended. */
     void closeAll() { server_.closeAll(); }
     std::uint16_t port() const { return server_.port(); }
 
 private:
-    HttpResponse answer(const HttpHead &head);
+    HttpResponse handleRequest(const HttpHead &head);
     HttpResponse readiness() const;
     HttpResponse metrics() const;
     HttpResponse state() const;
--- a/modules/instance/admin/MetricsPage.cpp
+++ b/modules/instance/admin/MetricsPage.cpp
@@ -14,19 +14,19 @@
 using prometheus::MetricType;
 
 using Counters = std::vector<const RequestCounters *>;
-using CountOf = std::function<const RequestCounters::Count &(const RequestCounters &)>;
+using CountSelector = std::function<const RequestCounters::Count &(const RequestCounters &)>;
 
 constexpr double millisPerSecond = 1000;
 
-std::uint64_t sum(const Counters &counters, const CountOf &countOf)
+std::uint64_t sum(const Counters &counters, const CountSelector &selectCount)
 {
     std::uint64_t total = 0;
     for (const RequestCounters *each : counters)
-        total += countOf(*each).load(std::memory_order_relaxed);
+        total += selectCount(*each).load(std::memory_order_relaxed);
     return total;
 }
 
-MetricFamily family(const std::string &name, const std::string &help, MetricType type)
+MetricFamily makeFamily(const std::string &name, const std::string &help, MetricType type)
 {
     MetricFamily result;
     result.name = name;
@@ -35,19 +35,20 @@
     return result;
 }
 
-MetricFamily counter(const std::string &name, const std::string &help, std::uint64_t value)
+MetricFamily makeCounter(const std::string &name, const std::string &help, std::uint64_t value)
 {
-    MetricFamily result = family(name, help, MetricType::Counter);
+    MetricFamily result = makeFamily(name, help, MetricType::Counter);
     ClientMetric metric;
     metric.counter.value = static_cast<double>(value);
     result.metric.push_back(metric);
     return result;
 }
 
-MetricFamily errorFamily(const Counters &counters)
+MetricFamily makeErrorFamily(const Counters &counters)
 {
-    MetricFamily result = family("cuminrail_request_errors_total",
-                                 "Requests that ended in an error, by code.", MetricType::Counter);
+    MetricFamily result =
+        makeFamily("cuminrail_request_errors_total", "Requests that ended in an error, by code.",
+                   MetricType::Counter);
     for (std::size_t code = 0; code < RequestCounters::errorCodes; ++code) {
         ClientMetric metric;
         metric.label.push_back({"code", std::string(errorCodeName(static_cast<ErrorCode>(code)))});
@@ -60,11 +61,11 @@
     return result;
 }
 
-MetricFamily firstByteFamily(const Counters &counters)
+MetricFamily makeFirstByteFamily(const Counters &counters)
 {
-    MetricFamily result =
-        family("cuminrail_first_byte_seconds",
-               "Time from a request's end to the first byte of its answer.", MetricType::Histogram);
+    MetricFamily result = makeFamily("cuminrail_first_byte_seconds",
+                                     "Time from a request's end to the first byte of its answer.",
+                                     MetricType::Histogram);
     ClientMetric metric;
     std::uint64_t cumulative = 0;
     for (std::size_t bucket = 0; bucket <= RequestCounters::bucketBounds.size(); ++bucket) {
@@ -121,14 +122,14 @@
     std::vector<MetricFamily> families;
     for (const CounterRow &row : counterRows) {
         const auto member = row.count;
-        families.push_back(counter(
+        families.push_back(makeCounter(
             row.name, row.help,
             sum(counters, [member](const RequestCounters &each) -> const RequestCounters::Count & {
                 return each.*member;
             })));
     }
     MetricFamily inProgress =
-        family("cuminrail_requests_in_progress", "Requests in progress.", MetricType::Gauge);
+        makeFamily("cuminrail_requests_in_progress", "Requests in progress.", MetricType::Gauge);
     ClientMetric gauge;
     gauge.gauge.value = static_cast<double>(
         sum(counters, [](const RequestCounters &each) -> const RequestCounters::Count & {
@@ -136,15 +137,15 @@
         }));
     inProgress.metric.push_back(gauge);
     families.push_back(inProgress);
-    families.push_back(errorFamily(counters));
-    families.push_back(firstByteFamily(counters));
-    MetricFamily info = family("cuminrail_instance_info", "This instance.", MetricType::Gauge);
-    ClientMetric one;
-    one.label = {{"instance", config.instanceId.text()},
-                 {"failure_domain", config.failureDomain.text()},
-                 {"region", config.region.text()}};
-    one.gauge.value = 1;
-    info.metric.push_back(one);
+    families.push_back(makeErrorFamily(counters));
+    families.push_back(makeFirstByteFamily(counters));
+    MetricFamily info = makeFamily("cuminrail_instance_info", "This instance.", MetricType::Gauge);
+    ClientMetric infoMetric;
+    infoMetric.label = {{"instance", config.instanceId.text()},
+                        {"failure_domain", config.failureDomain.text()},
+                        {"region", config.region.text()}};
+    infoMetric.gauge.value = 1;
+    info.metric.push_back(infoMetric);
     families.push_back(info);
     return prometheus::TextSerializer().Serialize(families);
 }
--- a/modules/instance/admin/MetricsPage.h
+++ b/modules/instance/admin/MetricsPage.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** Returns the sums over all request threads in Prometheus' text format. */
+/** Returns the metrics, summed over all request threads, in the Prometheus text format. */
 std::string metricsPage(const std::vector<const RequestCounters *> &counters,
                         const InstanceConfig &config);
 
--- a/modules/instance/admin/StatePage.cpp
+++ b/modules/instance/admin/StatePage.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-nlohmann::json upstreamState(const RoutedUpstream &upstream, const UpstreamLoad &live, Millis now)
+nlohmann::json upstreamState(const RoutedUpstream &upstream, const UpstreamLoad &upstreamLoad,
+                             Millis now)
 {
     nlohmann::json state;
     state["id"] = upstream.id.text();
@@ -14,12 +15,13 @@
     state["role"] = engineRoleNames.name(upstream.role);
     state["cost_class"] = costClassNames.name(upstream.costClass);
     state["takes_new_work"] = upstream.takesNewWork;
-    state["own_requests"] = live.requests.load();
-    state["own_prompt_tokens"] = live.promptTokens.load();
-    state["own_output_tokens"] = live.outputTokens.load();
-    state["others_requests"] = live.othersRequests.load();
-    state["report_age_ms"] = live.reportedAt.load() < 0 ? -1 : now.count() - live.reportedAt.load();
-    state["ejected"] = live.ejectedUntil.load() > now.count();
+    state["own_requests"] = upstreamLoad.requests.load();
+    state["own_prompt_tokens"] = upstreamLoad.promptTokens.load();
+    state["own_output_tokens"] = upstreamLoad.outputTokens.load();
+    state["others_requests"] = upstreamLoad.othersRequests.load();
+    state["report_age_ms"] =
+        upstreamLoad.reportedAt.load() < 0 ? -1 : now.count() - upstreamLoad.reportedAt.load();
+    state["ejected"] = upstreamLoad.ejectedUntil.load() > now.count();
     return state;
 }
 
--- a/modules/instance/admin/StatePage.h
+++ b/modules/instance/admin/StatePage.h
@@ -10,7 +10,7 @@
 
 namespace cuminrail {
 
-/** Returns what the request path holds at the moment. No keys, prompts or answers are in it. */
+/** Returns the current state of the request path, without keys, prompts or responses. */
 nlohmann::json statePage(ServingContext &context,
                          const std::vector<std::unique_ptr<RequestWorker>> &workers);
 
--- a/modules/instance/config/InstanceConfig.h
+++ b/modules/instance/config/InstanceConfig.h
@@ -10,7 +10,7 @@
 
 namespace cuminrail {
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 struct ListenAddress
 {
     std::string address = "127.0.0.1";
@@ -19,7 +19,8 @@
     std::string toString() const { return address + ":" + std::to_string(port); }
 };
 
-/** How one instance runs: what its flags and environment variables say. @see instanceFlags */
+/** The configuration of one instance, from its flags and environment variables.
+    @see instanceFlags */
 struct InstanceConfig
 {
     ListenAddress listen;
@@ -28,9 +29,9 @@
     InstanceId instanceId{"instance"};
     FailureDomainId failureDomain{"default"};
     RegionId region{"default"};
-    /** The platform's address, or empty: then settings come from settingsDir alone. */
+    /** The address of the platform. If empty, settings come from settingsDir only. */
     std::string platform;
-    /** A directory of settings for running without a platform, or empty. */
+    /** A directory with settings for running without a platform, or empty. */
     std::string settingsDir;
     std::string peerSecretFile;
     std::vector<std::string> peers;
@@ -51,9 +52,9 @@
     Millis connectTimeout = Millis::seconds(1);
     Millis firstByteTimeout = Millis::seconds(60);
     Millis upstreamStallTimeout = Millis::seconds(10);
-    /** Beyond this without knowing how current the keys are, requests are refused. */
+    /** Requests are refused after this long without confirmation that the keys are current. */
     Millis stalenessLimit = Millis::seconds(5);
-    /** How finely timeouts are noticed. */
+    /** The resolution of time-outs. */
     Millis deadlineTick{20};
 };
 
--- a/modules/instance/config/InstanceFlags.cpp
+++ b/modules/instance/config/InstanceFlags.cpp
@@ -12,25 +12,24 @@
 
 using Setter = std::function<bool(const std::string &, InstanceConfig &, Reason *)>;
 
-constexpr std::int64_t dayMs = 24LL * 60 * 60 * 1000;
+constexpr std::int64_t millisPerDay = 24LL * 60 * 60 * 1000;
 
-std::optional<std::int64_t> wholeNumber(const std::string &text, std::int64_t lowest,
-                                        std::int64_t highest, Reason *lastReason)
+std::optional<std::int64_t> parseInteger(const std::string &text, std::int64_t minimum,
+                                         std::int64_t maximum, Reason *lastReason)
 {
     std::int64_t value = 0;
     const char *const end = text.data() + text.size();
     const auto parsed = std::from_chars(text.data(), end, value);
     const bool isNumber = parsed.ec == std::errc() && parsed.ptr == end && !text.empty();
-    if (isNumber && value >= lowest && value <= highest)
+    if (isNumber && value >= minimum && value <= maximum)
         return value;
     fail(lastReason, {},
-         "must be a whole number from " + std::to_string(lowest) + " to "
-             + std::to_string(highest));
+         "must be an integer from " + std::to_string(minimum) + " to " + std::to_string(maximum));
     return std::nullopt;
 }
 
-std::optional<ListenAddress> address(const std::string &text, std::int64_t lowestPort,
-                                     Reason *lastReason)
+std::optional<ListenAddress> parseAddress(const std::string &text, std::int64_t minimumPort,
+                                          Reason *lastReason)
 {
     const auto colon = text.rfind(':');
     ListenAddress result;
@@ -40,31 +39,31 @@
             ip = ip.substr(1, ip.size() - 2);
         boost::system::error_code error;
         boost::asio::ip::make_address(ip, error);
-        const auto port = wholeNumber(text.substr(colon + 1), lowestPort, 65535, nullptr);
+        const auto port = parseInteger(text.substr(colon + 1), minimumPort, 65535, nullptr);
         if (!error && port) {
             result.address = ip;
             result.port = static_cast<std::uint16_t>(*port);
             return result;
         }
     }
-    fail(lastReason, {}, "must be an IP number and a port, like 10.0.0.7:8080");
+    fail(lastReason, {}, "must be an IP address and a port, such as 10.0.0.7:8080");
     return std::nullopt;
 }
 
 Setter listenSetter(ListenAddress InstanceConfig::*member)
 {
     return [member](const std::string &text, InstanceConfig &config, Reason *lastReason) {
-        const auto value = address(text, 0, lastReason);
+        const auto value = parseAddress(text, 0, lastReason);
         if (value)
             config.*member = *value;
         return value.has_value();
     };
 }
 
-Setter millisSetter(Millis InstanceConfig::*member, std::int64_t lowest)
+Setter millisSetter(Millis InstanceConfig::*member, std::int64_t minimum)
 {
-    return [member, lowest](const std::string &text, InstanceConfig &config, Reason *lastReason) {
-        const auto value = wholeNumber(text, lowest, dayMs, lastReason);
+    return [member, minimum](const std::string &text, InstanceConfig &config, Reason *lastReason) {
+        const auto value = parseInteger(text, minimum, millisPerDay, lastReason);
         if (value)
             config.*member = Millis(*value);
         return value.has_value();
@@ -72,10 +71,10 @@
 }
 
 template<typename Number>
-Setter numberSetter(Number InstanceConfig::*member, std::int64_t lowest, std::int64_t highest)
+Setter numberSetter(Number InstanceConfig::*member, std::int64_t minimum, std::int64_t maximum)
 {
     return [=](const std::string &text, InstanceConfig &config, Reason *lastReason) {
-        const auto value = wholeNumber(text, lowest, highest, lastReason);
+        const auto value = parseInteger(text, minimum, maximum, lastReason);
         if (value)
             config.*member = static_cast<Number>(*value);
         return value.has_value();
@@ -94,11 +93,11 @@
 Setter idSetter(IdType InstanceConfig::*member)
 {
     return [member](const std::string &text, InstanceConfig &config, Reason *lastReason) {
-        const bool isName = !text.empty() && text.size() <= 64
+        const bool isValid = !text.empty() && text.size() <= 64
             && std::all_of(text.begin(), text.end(), [](unsigned char c) {
                    return std::isalnum(c) != 0 || c == '-' || c == '_' || c == '.';
                });
-        if (!isName)
+        if (!isValid)
             return fail(lastReason, {}, "must be 1 to 64 letters, digits, '-', '_' or '.'");
         config.*member = IdType(text);
         return true;
@@ -107,9 +106,9 @@
 
 bool setPlatform(const std::string &text, InstanceConfig &config, Reason *lastReason)
 {
-    // Taken over even when wrong: a second line saying that it is missing would only confuse.
+    // Stored even if invalid, so that it is not also reported as missing.
     config.platform = text;
-    return text.empty() || address(text, 1, lastReason).has_value();
+    return text.empty() || parseAddress(text, 1, lastReason).has_value();
 }
 
 bool setPeers(const std::string &text, InstanceConfig &config, Reason *lastReason)
@@ -119,7 +118,7 @@
     while (begin < text.size()) {
         const auto end = std::min(text.find(',', begin), text.size());
         const std::string peer = text.substr(begin, end - begin);
-        if (!address(peer, 1, lastReason))
+        if (!parseAddress(peer, 1, lastReason))
             return false;
         config.peers.push_back(peer);
         begin = end + 1;
@@ -222,7 +221,7 @@
     };
 }
 
-cxxopts::Options options()
+cxxopts::Options makeOptionParser()
 {
     cxxopts::Options result("cuminraild", "One instance of cuminrail.");
     auto add = result.add_options();
@@ -236,13 +235,14 @@
     return result;
 }
 
-void checkTogether(FlagsResult &result)
+void checkCombinations(FlagsResult &result)
 {
     const InstanceConfig &config = result.config;
     if (config.tlsCertificate.empty() != config.tlsKey.empty())
-        result.mistakes.push_back({"--tls-cert", "needs --tls-key, and the other way round"});
+        result.mistakes.push_back({"--tls-cert", "requires --tls-key, and vice versa"});
     if (config.platform.empty() && config.settingsDir.empty())
-        result.mistakes.push_back({"--platform", "is needed, or --settings-dir for a trial"});
+        result.mistakes.push_back(
+            {"--platform", "is required unless --settings-dir is given for a trial"});
     if (!config.platform.empty() && !config.settingsDir.empty())
         result.mistakes.push_back({"--settings-dir", "cannot be used together with --platform"});
 }
@@ -259,18 +259,18 @@
 
 std::string InstanceFlag::toMarkdown() const
 {
-    const std::string shown = defaultText.empty() ? "" : "`" + defaultText + "`";
-    return "| `--" + name + "` | `" + environmentName() + "` | " + type + " | " + shown + " | "
-        + meaning + " |";
+    const std::string defaultCell = defaultText.empty() ? "" : "`" + defaultText + "`";
+    return "| `--" + name + "` | `" + environmentName() + "` | " + type + " | " + defaultCell
+        + " | " + meaning + " |";
 }
 
 const std::vector<InstanceFlag> &instanceFlags()
 {
     static const std::vector<InstanceFlag> flags = [] {
-        std::vector<InstanceFlag> all = addressFlags();
+        std::vector<InstanceFlag> allFlags = addressFlags();
         for (const auto &group : {processFlags(), limitFlags()})
-            all.insert(all.end(), group.begin(), group.end());
-        return all;
+            allFlags.insert(allFlags.end(), group.begin(), group.end());
+        return allFlags;
     }();
     return flags;
 }
@@ -278,41 +278,41 @@
 FlagsResult readInstanceFlags(int argc, const char *const *argv, const EnvironmentHook &environment)
 {
     FlagsResult result;
-    std::map<std::string, std::string> given;
+    std::map<std::string, std::string> commandLine;
     try {
-        cxxopts::Options known = options();
-        const auto parsed = known.parse(argc, argv);
+        cxxopts::Options parser = makeOptionParser();
+        const auto parsed = parser.parse(argc, argv);
         result.wantsHelp = parsed.count("help") > 0;
         for (const auto &entry : parsed.arguments()) {
-            if (!given.emplace(entry.key(), entry.value()).second)
-                result.mistakes.push_back({"--" + entry.key(), "is given twice"});
+            if (!commandLine.emplace(entry.key(), entry.value()).second)
+                result.mistakes.push_back({"--" + entry.key(), "is given more than once"});
         }
-        for (const std::string &rest : parsed.unmatched())
-            result.mistakes.push_back({rest, "is not a flag"});
+        for (const std::string &argument : parsed.unmatched())
+            result.mistakes.push_back({argument, "is not a known flag"});
     } catch (const std::exception &error) {
         result.mistakes.push_back({"command line", error.what()});
         return result;
     }
     for (const InstanceFlag &flag : instanceFlags()) {
-        const auto onLine = given.find(flag.name);
-        std::string where = "--" + flag.name;
+        const auto found = commandLine.find(flag.name);
+        std::string source = "--" + flag.name;
         std::optional<std::string> text;
-        if (onLine != given.end()) {
-            text = onLine->second;
+        if (found != commandLine.end()) {
+            text = found->second;
         } else if ((text = environment(flag.environmentName()))) {
-            where = flag.environmentName();
+            source = flag.environmentName();
         }
         Reason reason;
         if (!flag.set(text.value_or(flag.defaultText), result.config, &reason))
-            result.mistakes.push_back({where, reason.what});
+            result.mistakes.push_back({source, reason.what});
     }
-    checkTogether(result);
+    checkCombinations(result);
     return result;
 }
 
 std::string instanceHelp()
 {
-    return options().help();
+    return makeOptionParser().help();
 }
 
 } // namespace cuminrail
--- a/modules/instance/config/InstanceFlags.h
+++ b/modules/instance/config/InstanceFlags.h
@@ -11,44 +11,44 @@
 
 namespace cuminrail {
 
-/** One flag of cuminraild, which is also an environment variable. */
+/** One flag of cuminraild. Each flag can also be set by an environment variable. */
 struct InstanceFlag
 {
-    /** "drain-lag-ms"; the variable is CUMINRAIL_DRAIN_LAG_MS. */
+    /** For example "drain-lag-ms"; its variable is CUMINRAIL_DRAIN_LAG_MS. */
     std::string name;
-    /** What the value is, for people: "IP:PORT", "milliseconds". */
+    /** The type or unit shown in the help, such as "IP:PORT" or "milliseconds". */
     std::string type;
-    /** As it would be typed; empty for none. */
+    /** The default as it is written on the command line; empty if there is none. */
     std::string defaultText;
     std::string meaning;
-    /** Takes a value over into the configuration. Returns false with a reason. */
+    /** Parses a value into the configuration. Returns false with a reason if it is invalid. */
     std::function<bool(const std::string &text, InstanceConfig &config, Reason *lastReason)> set;
 
     std::string environmentName() const;
-    /** Returns the flag's row as it stands in docs/SETTINGS.md. */
+    /** Returns the flag's row of the table in docs/SETTINGS.md. */
     std::string toMarkdown() const;
 };
 
-/** Returns all flags, in the order of the help page and of docs/SETTINGS.md. */
+/** Returns all flags in the order of the help and of docs/SETTINGS.md. */
 const std::vector<InstanceFlag> &instanceFlags();
 
-/** Where environment variables come from; tests give a map. */
+/** Looks up an environment variable; tests use a map instead. */
 using EnvironmentHook = std::function<std::optional<std::string>(const std::string &name)>;
 
-/** What the command line and environment come to. */
+/** The result of parsing the command line and the environment. */
 struct FlagsResult
 {
     InstanceConfig config;
-    /** Every mistake, each with its flag or variable; the configuration counts only without. */
+    /** All errors, each with its flag or variable. The configuration is valid only if empty. */
     std::vector<Reason> mistakes;
     bool wantsHelp = false;
 };
 
-/** Reads the command line, then the environment for flags that are not on it. */
+/** Parses the command line, and the environment for flags that are not on it. */
 FlagsResult readInstanceFlags(int argc, const char *const *argv,
                               const EnvironmentHook &environment);
 
-/** Returns the help page. */
+/** Returns the text that --help prints. */
 std::string instanceHelp();
 
 } // namespace cuminrail
--- a/modules/instance/config/InstanceFlags_test.cpp
+++ b/modules/instance/config/InstanceFlags_test.cpp
@@ -12,7 +12,7 @@
 
 using Environment = std::map<std::string, std::string>;
 
-FlagsResult read(std::vector<const char *> arguments, const Environment &environment = {})
+FlagsResult parseFlags(std::vector<const char *> arguments, const Environment &environment = {})
 {
     arguments.insert(arguments.begin(), "cuminraild");
     return readInstanceFlags(static_cast<int>(arguments.size()), arguments.data(),
@@ -26,12 +26,12 @@
 
 } // namespace
 
-TEST_CASE("flags come before the environment, and both before defaults")
+TEST_CASE("flags take precedence over the environment, and both over defaults")
 {
-    const FlagsResult result = read({"--platform=10.0.0.1:80", "--threads=3"},
-                                    {{"CUMINRAIL_THREADS", "5"},
-                                     {"CUMINRAIL_DRAIN_LAG_MS", "70"},
-                                     {"CUMINRAIL_PEERS", "10.0.0.2:1,10.0.0.3:2"}});
+    const FlagsResult result = parseFlags({"--platform=10.0.0.1:80", "--threads=3"},
+                                          {{"CUMINRAIL_THREADS", "5"},
+                                           {"CUMINRAIL_DRAIN_LAG_MS", "70"},
+                                           {"CUMINRAIL_PEERS", "10.0.0.2:1,10.0.0.3:2"}});
     REQUIRE(result.mistakes.empty());
     CHECK(result.config.threads == 3);
     CHECK(result.config.drainLag == Millis(70));
@@ -40,9 +40,9 @@
     CHECK(result.config.platform == "10.0.0.1:80");
 }
 
-// An operator mistypes a value. Started with a default in its place, the instance would run for
-// weeks before anybody notices that it listens somewhere else.
-TEST_CASE("each mistake in flags is named")
+// Guards against a mistyped value being replaced by the default: the instance would run for weeks
+// before anybody noticed, for example, that it listens on another address.
+TEST_CASE("each invalid flag is reported by name")
 {
     struct Row
     {
@@ -87,28 +87,28 @@
         std::vector<const char *> flags = row.flags;
         if (std::string(flags[0]).rfind("--platform", 0) != 0)
             flags.push_back("--platform=1.2.3.4:5");
-        const FlagsResult result = read(flags);
+        const FlagsResult result = parseFlags(flags);
         REQUIRE(result.mistakes.size() == 1);
         CHECK(result.mistakes[0].where == row.where);
         CHECK_FALSE(result.mistakes[0].what.empty());
     }
 }
 
-TEST_CASE("mistakes in the environment name the variable, and all are listed")
+TEST_CASE("all errors are reported, those in the environment with their variable")
 {
     const FlagsResult result =
-        read({"--threads=0"}, {{"CUMINRAIL_LOG_LEVEL", "loud"}, {"CUMINRAIL_LISTEN", "x"}});
-    std::vector<std::string> places;
+        parseFlags({"--threads=0"}, {{"CUMINRAIL_LOG_LEVEL", "loud"}, {"CUMINRAIL_LISTEN", "x"}});
+    std::vector<std::string> sources;
     for (const Reason &mistake : result.mistakes)
-        places.push_back(mistake.where);
-    CHECK(places
+        sources.push_back(mistake.where);
+    CHECK(sources
           == std::vector<std::string>{"CUMINRAIL_LISTEN", "--threads", "CUMINRAIL_LOG_LEVEL",
                                       "--platform"});
 }
 
-TEST_CASE("help names every flag and variable")
+TEST_CASE("the help lists every flag and variable")
 {
-    CHECK(read({"--help"}).wantsHelp);
+    CHECK(parseFlags({"--help"}).wantsHelp);
     const std::string help = instanceHelp();
     for (const InstanceFlag &flag : instanceFlags()) {
         CAPTURE(flag.name);
@@ -117,19 +117,19 @@
     }
 }
 
-TEST_CASE("each default is what an instance has without the flag")
+TEST_CASE("the defaults of the flags equal those of InstanceConfig")
 {
-    const InstanceConfig untouched;
-    const InstanceConfig fromDefaults = read({"--platform=1.2.3.4:5"}).config;
-    CHECK(fromDefaults.drainLag == untouched.drainLag);
-    CHECK(fromDefaults.maxBodyBytes == untouched.maxBodyBytes);
-    CHECK(fromDefaults.firstByteTimeout == untouched.firstByteTimeout);
-    CHECK(fromDefaults.stalenessLimit == untouched.stalenessLimit);
-    CHECK(fromDefaults.threads == untouched.threads);
+    const InstanceConfig builtIn;
+    const InstanceConfig fromDefaults = parseFlags({"--platform=1.2.3.4:5"}).config;
+    CHECK(fromDefaults.drainLag == builtIn.drainLag);
+    CHECK(fromDefaults.maxBodyBytes == builtIn.maxBodyBytes);
+    CHECK(fromDefaults.firstByteTimeout == builtIn.firstByteTimeout);
+    CHECK(fromDefaults.stalenessLimit == builtIn.stalenessLimit);
+    CHECK(fromDefaults.threads == builtIn.threads);
 }
 
-// An operator looks a flag up and finds an old default, because the page was not changed with the
-// code.
+// Guards against an outdated page: an operator would read an old default there if the flag were
+// changed in the code only.
 TEST_CASE("docs/SETTINGS.md lists exactly the flags of the code")
 {
     std::ifstream page("docs/SETTINGS.md");
--- a/modules/instance/config/SettingsFiles.h
+++ b/modules/instance/config/SettingsFiles.h
@@ -9,7 +9,8 @@
 
 namespace cuminrail {
 
-/** Reads a whole settings tree from a directory, or refuses it whole with every mistake. */
+/** Reads a settings tree from a directory. If any part is invalid, rejects the whole tree and
+    reports all errors. */
 std::optional<Settings> readSettingsFiles(const std::string &directory,
                                           std::vector<Reason> *mistakes);
 
--- a/modules/instance/testing/InstanceFixture.h
+++ b/modules/instance/testing/InstanceFixture.h
@@ -15,7 +15,7 @@
 inline const std::string southKey = "key-of-the-south-0002";
 inline const std::string withdrawnKey = "key-that-was-withdrawn";
 
-/** Answers every request with a completion, plain or streamed, of three events. */
+/** Responds to each request with a completion, either plain or a stream of three events. */
 inline void engineScript(ScriptedUpstream::Connection &connection)
 {
     for (;;) {
@@ -34,7 +34,7 @@
     }
 }
 
-/** Answers every call of a plain service with its own identity. */
+/** Responds to each call of a plain service and echoes its request ID. */
 inline void serviceScript(ScriptedUpstream::Connection &connection)
 {
     for (;;) {
@@ -45,14 +45,14 @@
     }
 }
 
-/** An address at which nothing listens. */
+/** Returns an address on which nothing listens. */
 inline std::string closedAddress()
 {
-    const ScriptedUpstream gone([](ScriptedUpstream::Connection &) {});
-    return gone.address();
+    const ScriptedUpstream closed([](ScriptedUpstream::Connection &) {});
+    return closed.address();
 }
 
-/** Settings with two customers, two models, a service "lodging", and the given upstreams. */
+/** Returns settings with two customers, two models, a service "lodging" and the given upstreams. */
 inline Settings testSettings(const std::vector<std::string> &engines,
                              const std::vector<std::string> &services)
 {
@@ -101,7 +101,7 @@
     return settings;
 }
 
-/** A configuration on free loopback ports, with timeouts that tests can wait for. */
+/** Returns a configuration with free loopback ports and time-outs short enough for tests. */
 inline InstanceConfig testConfig()
 {
     InstanceConfig config;
@@ -113,13 +113,13 @@
     return config;
 }
 
-/** A running instance whose events and usage are kept. */
+/** A running instance that records its events and usage. */
 class RunningInstance
 {
 public:
     explicit RunningInstance(const Settings &settings, InstanceConfig config = testConfig(),
                              const ClaimHooks &claims = {}, const SendFaultHook &fault = {})
-        : instance(std::move(config), [this](const Event &event) { keep(event); })
+        : instance(std::move(config), [this](const Event &event) { recordEvent(event); })
     {
         instance.context().claims = claims;
         instance.context().sendFault = fault;
@@ -142,7 +142,7 @@
         return TestSocket::connectTo(instance.port(), receiveBufferBytes);
     }
 
-    /** Sends one request over a connection of its own and returns everything that comes back. */
+    /** Sends one request over a new connection and returns the whole response. */
     std::string ask(const std::string &request) const
     {
         TestSocket socket = connect();
@@ -165,7 +165,7 @@
         return usage_;
     }
 
-    /** Returns all events so far as log lines. */
+    /** Returns all events so far, formatted as log lines. */
     std::string log() const
     {
         const std::lock_guard<std::mutex> lock(mutex_);
@@ -175,7 +175,7 @@
     Instance instance;
 
 private:
-    void keep(const Event &event)
+    void recordEvent(const Event &event)
     {
         const std::lock_guard<std::mutex> lock(mutex_);
         log_ += EventLog::format(event, "i") + "\n";
@@ -187,7 +187,7 @@
     std::string log_;
 };
 
-/** Returns a request with a key and, if it has one, a body. */
+/** Returns a request with a key and a body, each unless empty. */
 inline std::string request(const std::string &method, const std::string &target,
                            const std::string &key, const std::string &body = {},
                            const std::string &moreHeaders = {})
@@ -205,14 +205,14 @@
 inline const std::string streamBody =
     R"({"model":"small","stream":true,"messages":[{"role":"user","content":"hello"}]})";
 
-/** Returns a completion request of the north's. */
+/** Returns a completion request of the customer "north". */
 inline std::string completion(const std::string &body = plainBody,
                               const std::string &moreHeaders = {})
 {
     return request("POST", "/v1/chat/completions", northKey, body, moreHeaders);
 }
 
-/** Returns a lodging with an Idempotency-Key. */
+/** Returns a call of the service "lodging" with an Idempotency-Key. */
 inline std::string lodging(const std::string &idempotencyKey, const std::string &body = "{}")
 {
     return request("POST", "/services/lodging/lodgings", northKey, body,
@@ -224,20 +224,20 @@
     return text.find(part) != std::string::npos;
 }
 
-/** Returns the chunks of an answer put together, without its head. */
-inline std::string unchunked(const std::string &answer)
+/** Returns the body of a chunked response, decoded. */
+inline std::string unchunked(const std::string &response)
 {
-    std::string out;
-    std::size_t at = answer.find("\r\n\r\n") + 4;
-    while (at < answer.size()) {
-        const std::size_t size = std::strtoul(answer.c_str() + at, nullptr, 16);
-        const auto data = answer.find("\r\n", at) + 2;
+    std::string decoded;
+    std::size_t offset = response.find("\r\n\r\n") + 4;
+    while (offset < response.size()) {
+        const std::size_t size = std::strtoul(response.c_str() + offset, nullptr, 16);
+        const auto data = response.find("\r\n", offset) + 2;
         if (size == 0 || data < 2)
             break;
-        out += answer.substr(data, size);
-        at = data + size + 2;
+        decoded += response.substr(data, size);
+        offset = data + size + 2;
     }
-    return out;
+    return decoded;
 }
 
 } // namespace cuminrail::testing
