--- a/modules/scenario/judge/BilledUse.cpp
+++ b/modules/scenario/judge/BilledUse.cpp
@@ -9,14 +9,14 @@
 
 CustomerUsage billedUse(const FakeUsageReceiver &receiver)
 {
-    std::map<std::string, std::string> windows;
+    std::map<std::string, std::string> acceptedWindows;
     for (const ReceivedReport &received : receiver.received()) {
         if (received.accepted)
-            windows[received.report.windowId] = received.report.sealedFigures;
+            acceptedWindows[received.report.windowId] = received.report.sealedFigures;
     }
     CustomerUsage billed;
-    for (const auto &[id, figures] : windows) {
-        const auto json = nlohmann::json::parse(figures);
+    for (const auto &[id, sealedCounters] : acceptedWindows) {
+        const auto json = nlohmann::json::parse(sealedCounters);
         for (const auto &[customer, used] : json.at("customers").items())
             billed[CustomerId(customer)] +=
                 UsageCounters{used.at("prompt_tokens").get<std::uint64_t>(),
--- a/modules/scenario/judge/BilledUse.h
+++ b/modules/scenario/judge/BilledUse.h
@@ -5,7 +5,7 @@
 
 namespace cuminrail {
 
-/** Returns what the platform would bill by the reports it took, each window once. */
+/** Returns the billable use according to the accepted reports, counting each window once. */
 CustomerUsage billedUse(const FakeUsageReceiver &receiver);
 
 } // namespace cuminrail
--- a/modules/scenario/judge/Judge.cpp
+++ b/modules/scenario/judge/Judge.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-using Report = std::function<void(std::string)>;
+using ReportHook = std::function<void(std::string)>;
 
-/** No order may meet another one in the engine, nor come again after a later one. */
-void judgeConflicts(const ScenarioWorld &world, const Report &report)
+/** An engine must not get an order while it executes another, nor a duplicate after a later one. */
+void checkConflicts(const ScenarioWorld &world, const ReportHook &report)
 {
     for (const auto &[id, engine] : world.engines.engines()) {
         std::vector<std::string> seen;
@@ -22,8 +22,7 @@
                 continue;
             const std::string &order = received.order.orderId;
             if (!received.interrupted.empty())
-                report(id.text() + " got " + order + " while it carried out "
-                       + received.interrupted);
+                report(id.text() + " got " + order + " while it executed " + received.interrupted);
             const auto known = std::find(seen.begin(), seen.end(), order);
             if (known == seen.end())
                 seen.push_back(order);
@@ -33,8 +32,8 @@
     }
 }
 
-/** Once an engine has done a holder's order, an earlier holder's must not take effect. */
-void judgeLostAuthority(const ScenarioWorld &world, const Report &report)
+/** Once an engine has accepted a holder's order, it must not accept one from a previous holder. */
+void checkOrderFences(const ScenarioWorld &world, const ReportHook &report)
 {
     for (const auto &[id, engine] : world.engines.engines()) {
         FenceNumber highest = 0;
@@ -50,7 +49,7 @@
     }
 }
 
-void judgeFleet(const ScenarioWorld &world, const Report &report)
+void checkFleetFences(const ScenarioWorld &world, const ReportHook &report)
 {
     std::map<std::pair<FailureDomainId, CostClass>, FenceNumber> highest;
     for (const ReceivedTarget &received : world.fleet.received()) {
@@ -65,7 +64,7 @@
     }
 }
 
-void judgeUsageFigures(const ScenarioWorld &world, const Report &report)
+void checkUsageReports(const ScenarioWorld &world, const ReportHook &report)
 {
     std::map<std::string, std::string> figures;
     for (const ReceivedReport &received : world.usage.received()) {
@@ -77,7 +76,7 @@
     }
 }
 
-void judgeUsageHolder(const ScenarioWorld &world, const Report &report)
+void checkUsageFences(const ScenarioWorld &world, const ReportHook &report)
 {
     std::map<std::string, FenceNumber> highest;
     for (const ReceivedReport &received : world.usage.received()) {
@@ -92,21 +91,21 @@
     }
 }
 
-/** Nobody is billed for more than was used. */
-void judgeBill(const ScenarioWorld &world, const Report &report)
+/** No customer is billed for more than it used. */
+void checkBilledUse(const ScenarioWorld &world, const ReportHook &report)
 {
     CustomerUsage used;
     for (const CountedUse &use : world.countedUse())
         used[use.customer] += use.figures;
     for (const auto &[customer, billed] : billedUse(world.usage)) {
-        const UsageCounters more = billed.increaseSince(usageOf(used, customer));
-        if (!more.isZero())
-            report(customer.text() + " was billed " + std::to_string(more.promptTokens)
+        const UsageCounters excess = billed.increaseSince(usageOf(used, customer));
+        if (!excess.isZero())
+            report(customer.text() + " was billed " + std::to_string(excess.promptTokens)
                    + " prompt tokens more than it used");
     }
 }
 
-/** The calls that callers marked as not to be run twice. */
+/** Returns the calls that are not idempotent, which must run at most once. */
 std::set<std::string> nonIdempotentWork(const ScenarioWorld &world)
 {
     std::set<std::string> work;
@@ -117,29 +116,29 @@
     return work;
 }
 
-void judgeAtMostOnce(const ScenarioWorld &world, const Report &report)
+void checkAtMostOnce(const ScenarioWorld &world, const ReportHook &report)
 {
-    const std::set<std::string> once = nonIdempotentWork(world);
+    const std::set<std::string> nonIdempotent = nonIdempotentWork(world);
     std::set<std::string> seen;
     for (const ServiceRun &run : world.service.runs()) {
-        if (once.count(run.work) != 0 && !seen.insert(run.work).second)
+        if (nonIdempotent.count(run.work) != 0 && !seen.insert(run.work).second)
             report(run.work + " ran again, sent by " + run.from);
     }
 }
 
-void judgeNotRun(const ScenarioWorld &world, const Report &report)
+void checkNotRun(const ScenarioWorld &world, const ReportHook &report)
 {
     for (const CallerAnswer &answer : world.answers()) {
         if (answer.verdict != Verdict::NotRun)
             continue;
         for (const ServiceRun &run : world.service.runs()) {
             if (run.attempt == answer.call.attempt)
-                report(answer.call.attempt + " was told not run, and ran");
+                report(answer.call.attempt + " was answered as not run, but ran");
         }
     }
 }
 
-void judgeAnswers(const ScenarioWorld &world, const Report &report)
+void checkAnswers(const ScenarioWorld &world, const ReportHook &report)
 {
     std::map<std::string, int> answered;
     for (const CallerAnswer &answer : world.answers()) {
@@ -150,8 +149,8 @@
     }
 }
 
-/** Only an instance that dies leaves its callers without an answer; a planned stop does not. */
-void judgeCutCalls(const ScenarioWorld &world, const Report &report)
+/** Calls may stay unanswered only when their instance was killed, not on a planned stop. */
+void checkUnansweredCalls(const ScenarioWorld &world, const ReportHook &report)
 {
     std::set<std::string> answered;
     for (const CallerAnswer &answer : world.answers())
@@ -162,36 +161,36 @@
     }
 }
 
-void judgeCustomers(const ScenarioWorld &world, const Report &report)
+void checkCustomers(const ScenarioWorld &world, const ReportHook &report)
 {
-    std::map<std::string, std::string> owner;
+    std::map<std::string, std::string> customerOfWork;
     for (const ScenarioCall &call : world.calls())
-        owner[call.work] = call.customer;
+        customerOfWork[call.work] = call.customer;
     for (const ServiceRun &run : world.service.runs()) {
-        if (owner[run.work] != run.customer)
+        if (customerOfWork[run.work] != run.customer)
             report(run.work + " ran for " + run.customer);
     }
 }
 
-/** By the store's own history a lease's fence only rises, and rises with every new holder. */
-void judgeLeases(const ScenarioWorld &world, const Report &report)
+/** In the store's history a lease's fence never decreases, and increases with each new holder. */
+void checkLeases(const ScenarioWorld &world, const ReportHook &report)
 {
-    std::map<std::string, LeaseRecord> last;
+    std::map<std::string, LeaseRecord> lastRecords;
     for (const StoreObject &object : world.store.history()) {
         if (object.path.rfind(DutyLease::path(""), 0) != 0)
             continue;
         const auto record = LeaseRecord::fromText(object.value, nullptr);
         if (!record)
             continue;
-        const auto before = last.find(object.path);
-        const bool isNewHolder = before != last.end() && !record->isReleased()
-            && !record->isHeldBy(before->second.holder, before->second.incarnation);
-        if (before != last.end() && record->fence < before->second.fence)
-            report(object.path + " went back to fence " + std::to_string(record->fence));
-        if (isNewHolder && record->fence <= before->second.fence)
+        const auto previous = lastRecords.find(object.path);
+        const bool isNewHolder = previous != lastRecords.end() && !record->isReleased()
+            && !record->isHeldBy(previous->second.holder, previous->second.incarnation);
+        if (previous != lastRecords.end() && record->fence < previous->second.fence)
+            report(object.path + " fell back to fence " + std::to_string(record->fence));
+        if (isNewHolder && record->fence <= previous->second.fence)
             report(object.path + " has a new holder under the old fence "
                    + std::to_string(record->fence));
-        last[object.path] = *record;
+        lastRecords[object.path] = *record;
     }
 }
 
@@ -200,19 +199,19 @@
 const std::vector<Promise> &Judge::promises()
 {
     static const std::vector<Promise> all = {
-        {"an engine never gets conflicting orders", judgeConflicts},
-        {"orders from a process that has lost its authority have no effect", judgeLostAuthority},
+        {"an engine never gets conflicting orders", checkConflicts},
+        {"orders from a process that has lost its authority have no effect", checkOrderFences},
         {"the platform never gets upstream orders from two who believe to be in charge",
-         judgeFleet},
-        {"no usage window is reported with different figures", judgeUsageFigures},
-        {"no usage window is reported by two who believe to be in charge", judgeUsageHolder},
-        {"nobody is billed for more than was used", judgeBill},
-        {"a non-idempotent request runs at most once", judgeAtMostOnce},
-        {"a refusal saying not run is true", judgeNotRun},
-        {"a caller gets the whole answer to its own request", judgeAnswers},
-        {"no request is cut by a planned change", judgeCutCalls},
-        {"a request runs only for the customer whose key came with it", judgeCustomers},
-        {"a lease's fence rises with every holder", judgeLeases},
+         checkFleetFences},
+        {"no usage window is reported with different figures", checkUsageReports},
+        {"no usage window is reported by two who believe to be in charge", checkUsageFences},
+        {"nobody is billed for more than was used", checkBilledUse},
+        {"a non-idempotent request runs at most once", checkAtMostOnce},
+        {"a refusal saying not run is true", checkNotRun},
+        {"a caller gets the whole answer to its own request", checkAnswers},
+        {"no request is cut by a planned change", checkUnansweredCalls},
+        {"a request runs only for the customer whose key came with it", checkCustomers},
+        {"a lease's fence rises with every holder", checkLeases},
     };
     return all;
 }
--- a/modules/scenario/judge/Judge.h
+++ b/modules/scenario/judge/Judge.h
@@ -8,14 +8,14 @@
 
 namespace cuminrail {
 
-/** A promise that was broken, and how the records show it. */
+/** A violated guarantee and the records that show it. */
 struct Breach
 {
     std::string promise;
     std::string evidence;
 };
 
-/** One promise and the check of the records that belongs to it. */
+/** A guarantee and the check of the records that verifies it. */
 struct Promise
 {
     std::string name;
@@ -24,17 +24,18 @@
 };
 
 /**
-    Judges a run by what engines, the platform and the usage receiver recorded.
+    Checks a run against the system's guarantees, using the records of engines, platform, usage
+    receiver, service, store and callers.
 
-    Never looks at what the instances say of themselves, and holds for every scenario whatever its
-    file expects.
+    Doesn't rely on the state that instances report about themselves. The guarantees apply to every
+    scenario, in addition to the expectations in its file.
 */
 class Judge
 {
 public:
-    /** Returns all promises that are judged. */
+    /** Returns all guarantees that are checked. */
     static const std::vector<Promise> &promises();
-    /** Returns every breach in a run; nothing when all promises held. */
+    /** Returns all violations in a run; empty when every guarantee held. */
     static std::vector<Breach> judge(const ScenarioWorld &world);
 };
 
--- a/modules/scenario/language/ScenarioChecks.cpp
+++ b/modules/scenario/language/ScenarioChecks.cpp
@@ -10,7 +10,7 @@
 
 using Check = std::function<std::optional<std::string>(ScenarioWorld &)>;
 
-std::optional<std::string> unlessEqual(const std::string &expected, const std::string &found)
+std::optional<std::string> mismatch(const std::string &expected, const std::string &found)
 {
     if (expected == found)
         return std::nullopt;
@@ -23,15 +23,15 @@
     if (words.accept("role")) {
         const std::string role = words.word("a role");
         return [=](ScenarioWorld &w) {
-            return unlessEqual(
-                role, std::string(engineRoleNames.name(w.engines.engine(engine).state.role)));
+            return mismatch(role,
+                            std::string(engineRoleNames.name(w.engines.engine(engine).state.role)));
         };
     }
     words.require("received");
     const std::uint64_t count = words.number("a number of orders");
     return [=](ScenarioWorld &w) {
-        return unlessEqual(std::to_string(count),
-                           std::to_string(w.engines.engine(engine).received.size()));
+        return mismatch(std::to_string(count),
+                        std::to_string(w.engines.engine(engine).received.size()));
     };
 }
 
@@ -42,10 +42,10 @@
     return [=](ScenarioWorld &w) {
         const auto holders = w.holders(duty);
         if (expected == "one")
-            return unlessEqual("1", std::to_string(holders.size()));
+            return mismatch("1", std::to_string(holders.size()));
         if (expected == "none")
-            return unlessEqual("0", std::to_string(holders.size()));
-        return unlessEqual(expected, holders.empty() ? "none" : holders.front());
+            return mismatch("0", std::to_string(holders.size()));
+        return mismatch(expected, holders.empty() ? "none" : holders.front());
     };
 }
 
@@ -55,7 +55,7 @@
     const std::uint64_t count = words.number("the number of upstreams");
     return [=](ScenarioWorld &w) {
         const FleetStatus &status = w.fleet.status(zone.domain, zone.costClass);
-        return unlessEqual(std::to_string(count), std::to_string(status.target.count));
+        return mismatch(std::to_string(count), std::to_string(status.target.count));
     };
 }
 
@@ -77,7 +77,7 @@
             const auto &runs = w.service.runs();
             const auto found = std::count_if(
                 runs.begin(), runs.end(), [&](const ServiceRun &run) { return run.work == work; });
-            return unlessEqual(std::to_string(count), std::to_string(found));
+            return mismatch(std::to_string(count), std::to_string(found));
         };
     }
     words.require("answers");
@@ -87,7 +87,7 @@
         throw StatementError("unknown verdict '" + name + "'");
     const std::uint64_t count = words.number("the number of answers");
     return [=](ScenarioWorld &w) {
-        return unlessEqual(std::to_string(count), std::to_string(countAnswers(w, work, *verdict)));
+        return mismatch(std::to_string(count), std::to_string(countAnswers(w, work, *verdict)));
     };
 }
 
--- a/modules/scenario/language/ScenarioParser.cpp
+++ b/modules/scenario/language/ScenarioParser.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** An expectation without an instant is looked at when the run is over. */
+/** An expectation without a time is evaluated at the end of the run. */
 constexpr Millis atEnd = Millis::never();
 
 std::string withoutIndent(const std::string &line)
@@ -69,7 +69,7 @@
     if (keyword == "instance") {
         readInstance(words);
     } else if (keyword == "engine") {
-        fetchEngineReport(words);
+        readEngine(words);
     } else if (keyword == "zone") {
         readZone(words);
     } else if (keyword == "team") {
@@ -98,18 +98,20 @@
     script_.setups.push_back({[name, domain](ScenarioWorld &w) { w.addInstance(name, domain); }});
 }
 
-void ScenarioParser::fetchEngineReport(StatementReader &words)
+void ScenarioParser::readEngine(StatementReader &words)
 {
     const UpstreamId id(words.word("the engine's name"));
     words.require("domain");
     const FailureDomainId domain(words.word("the failure domain"));
-    const bool checks = words.accept("checks-fence") && words.yesOrNo("checks-fence");
-    const Millis takes = words.accept("order-takes") ? words.span("order-takes") : Millis(2000);
+    const bool checksFence = words.accept("checks-fence") && words.yesOrNo("checks-fence");
+    const Millis orderDuration =
+        words.accept("order-takes") ? words.span("order-takes") : Millis(2000);
     if (!engines_.insert(id.text()).second)
         throw StatementError("engine '" + id.text() + "' is there already");
-    if (checks)
+    if (checksFence)
         script_.checkingEngines.insert(id.text());
-    script_.setups.push_back({[=](ScenarioWorld &w) { w.addEngine(id, domain, checks, takes); }});
+    script_.setups.push_back(
+        {[=](ScenarioWorld &w) { w.addEngine(id, domain, checksFence, orderDuration); }});
 }
 
 Zone readZoneName(StatementReader &words)
@@ -164,11 +166,11 @@
 void ScenarioParser::readAction(Millis at, StatementReader &words, const std::string &line)
 {
     const std::string keyword = words.word("an action");
-    ScenarioAction read;
-    read.at = at;
-    read.text = line;
-    read.apply = action(keyword, words);
-    script_.actions.push_back(std::move(read));
+    ScenarioAction parsed;
+    parsed.at = at;
+    parsed.text = line;
+    parsed.apply = action(keyword, words);
+    script_.actions.push_back(std::move(parsed));
 }
 
 std::function<void(ScenarioWorld &)> ScenarioParser::action(const std::string &keyword,
@@ -300,12 +302,12 @@
 void ScenarioParser::readExpectation(Millis at, StatementReader &words, const std::string &line,
                                      int number)
 {
-    ScenarioExpectation read;
-    read.at = at;
-    read.line = number;
-    read.text = line;
-    read.check = readCheck(words);
-    script_.expectations.push_back(std::move(read));
+    ScenarioExpectation parsed;
+    parsed.at = at;
+    parsed.line = number;
+    parsed.text = line;
+    parsed.check = readCheck(words);
+    script_.expectations.push_back(std::move(parsed));
 }
 
 } // namespace detail
--- a/modules/scenario/language/ScenarioParser.h
+++ b/modules/scenario/language/ScenarioParser.h
@@ -9,20 +9,20 @@
 namespace cuminrail {
 namespace detail {
 
-/** Turns statements into a script, checking each name against what was set up before it. */
+/** Parses statements into a script. Names in actions must be declared before. */
 class ScenarioParser
 {
 public:
     explicit ScenarioParser(const std::string &name) { script_.name = name; }
 
-    /** Reads one line; throws StatementError. */
+    /** Parses one line; throws StatementError. */
     void readLine(const std::string &line, int number);
     ScenarioScript finish();
 
 private:
     void readSetup(const std::string &keyword, StatementReader &words);
     void readInstance(StatementReader &words);
-    void fetchEngineReport(StatementReader &words);
+    void readEngine(StatementReader &words);
     void readZone(StatementReader &words);
     void readSteps(StatementReader &words);
     void readAction(Millis at, StatementReader &words, const std::string &line);
@@ -47,10 +47,10 @@
     std::set<Zone> zones_;
 };
 
-/** Reads a failure domain and a cost class. */
+/** Parses a failure domain and a cost class. */
 Zone readZoneName(StatementReader &words);
 
-/** Reads what follows "expect". */
+/** Parses the part of a statement after "expect". */
 std::function<std::optional<std::string>(ScenarioWorld &)> readCheck(StatementReader &words);
 
 } // namespace detail
--- a/modules/scenario/language/ScenarioRun.h
+++ b/modules/scenario/language/ScenarioRun.h
@@ -11,29 +11,29 @@
 
 namespace cuminrail {
 
-/** How a run ended. */
+/** Result of a run. */
 struct ScenarioResult
 {
     std::vector<Breach> breaches;
-    /** "court-day.scenario:12: expected prefill, found decode" */
+    /** Expectations that did not hold: "court-day.scenario:12: expected prefill, found decode" */
     std::vector<std::string> unmet;
     std::vector<FakeMessage> messages;
 
     bool isGood() const { return breaches.empty() && unmet.empty(); }
 };
 
-/** What a run may be told beside its script. */
+/** Options of a run besides its script. */
 struct ScenarioOptions
 {
     std::uint64_t seed = 1;
-    /** Called with the world before it starts, for the fault matrix. */
+    /** Called before the world starts; the fault matrix installs its message hook here. */
     std::function<void(ScenarioWorld &)> prepare;
 };
 
-/** Plays a script in virtual time and judges it. */
+/** Runs a script in virtual time and checks its expectations and all guarantees. */
 ScenarioResult runScenario(const ScenarioScript &script, const ScenarioOptions &options);
 
-/** Returns the whole history of a run, one line a message. */
+/** Returns all messages of a run, one per line. */
 std::string traceOf(const ScenarioResult &result);
 
 } // namespace cuminrail
--- a/modules/scenario/language/ScenarioRun_test.cpp
+++ b/modules/scenario/language/ScenarioRun_test.cpp
@@ -8,7 +8,8 @@
 
 using namespace cuminrail;
 
-TEST_CASE("every scenario file of the examples holds, with several seeds")
+// A change of a module breaks a guarantee or an expectation of an example scenario.
+TEST_CASE("all example scenarios pass with several seeds")
 {
     std::size_t files = 0;
     for (const auto &entry : std::filesystem::directory_iterator("examples/scenarios")) {
@@ -39,7 +40,9 @@
     CHECK(files >= 25);
 }
 
-TEST_CASE("a run is the same for the same seed, and an unmet expectation names its line")
+// Runs with one seed differ, so that a failure cannot be reproduced, or an unmet expectation is
+// reported without its line.
+TEST_CASE("runs with the same seed are identical, and an unmet expectation names its line")
 {
     const char *text = "# t\ninstance a domain d\nengine e1 domain d\n"
                        "at 5s order e1 change-role decode\nend 20s\n"
--- a/modules/scenario/language/ScenarioScript.cpp
+++ b/modules/scenario/language/ScenarioScript.cpp
@@ -11,13 +11,13 @@
 {
     detail::ScenarioParser parser(name);
     std::istringstream lines(text);
-    int number = 0;
+    int lineNumber = 0;
     for (std::string line; std::getline(lines, line);) {
-        ++number;
+        ++lineNumber;
         try {
-            parser.readLine(line, number);
+            parser.readLine(line, lineNumber);
         } catch (const detail::StatementError &error) {
-            fail(lastReason, name + ":" + std::to_string(number), error.what());
+            fail(lastReason, name + ":" + std::to_string(lineNumber), error.what());
             return std::nullopt;
         }
     }
--- a/modules/scenario/language/ScenarioScript.h
+++ b/modules/scenario/language/ScenarioScript.h
@@ -12,13 +12,13 @@
 
 namespace cuminrail {
 
-/** A line that sets the world up before it starts. */
+/** A statement applied before the world starts. */
 struct ScenarioSetup
 {
     std::function<void(ScenarioWorld &)> apply;
 };
 
-/** A line that acts or breaks something at an instant. */
+/** A statement that performs an action or injects a fault at a given time. */
 struct ScenarioAction
 {
     Millis at;
@@ -26,7 +26,7 @@
     std::function<void(ScenarioWorld &)> apply;
 };
 
-/** A line that says what must hold at an instant; nothing returned means it does. */
+/** A condition that must hold at a given time; check returns nullopt when it does. */
 struct ScenarioExpectation
 {
     Millis at;
@@ -35,27 +35,27 @@
     std::function<std::optional<std::string>(ScenarioWorld &)> check;
 };
 
-/** A scenario that has been read and checked. */
+/** A parsed and validated scenario. */
 struct ScenarioScript
 {
     std::string name;
-    /** The first line of the file's comment. */
+    /** The file's first comment line. */
     std::string title;
     std::vector<ScenarioSetup> setups;
     std::vector<ScenarioAction> actions;
     std::vector<ScenarioExpectation> expectations;
-    /** Names of the engines that check fences. */
+    /** Names of the engines that reject orders with a lower fence. */
     std::set<std::string> checkingEngines;
     Millis end = Millis::seconds(60);
-    /** The part of the run whose messages are the fault matrix's steps. */
+    /** Time range of the messages at which the fault matrix injects faults. */
     Millis stepsFrom;
     Millis stepsTo;
 };
 
 /**
-    Reads the scenario language: one statement a line, # begins a comment.
+    Parses a scenario: one statement per line, # begins a comment.
 
-    docs/SCENARIOS.md has the statements. Errors name the file, the line and the reason:
+    docs/SCENARIOS.md describes the statements. Errors name the file, the line and the reason:
     "court-day.scenario:12: unknown instance 'x'".
 */
 std::optional<ScenarioScript> readScenario(const std::string &name, const std::string &text,
--- a/modules/scenario/language/ScenarioScript_test.cpp
+++ b/modules/scenario/language/ScenarioScript_test.cpp
@@ -4,9 +4,8 @@
 
 using namespace cuminrail;
 
-// An operator mistypes a line of a scenario. The mistake is named with file, line and reason, and
-// nothing is run.
-TEST_CASE("mistakes in a scenario are named with file, line and reason")
+// A scenario with a mistyped line must not run; the error names file, line and reason.
+TEST_CASE("errors in a scenario are reported with file, line and reason")
 {
     struct Row
     {
--- a/modules/scenario/language/StatementReader.cpp
+++ b/modules/scenario/language/StatementReader.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-constexpr std::size_t mostDigits = 12;
+constexpr std::size_t maxDigits = 12;
 
 bool isNumber(const std::string &text)
 {
-    return !text.empty() && text.size() <= mostDigits
+    return !text.empty() && text.size() <= maxDigits
         && std::all_of(text.begin(), text.end(),
                        [](unsigned char c) { return c >= '0' && c <= '9'; });
 }
--- a/modules/scenario/language/StatementReader.h
+++ b/modules/scenario/language/StatementReader.h
@@ -10,32 +10,32 @@
 namespace cuminrail {
 namespace detail {
 
-/** A mistake in a line; its text is the reason that the reader reports. */
+/** A syntax or name error in a statement; what() is the reason reported to the user. */
 class StatementError : public std::runtime_error
 {
 public:
     using std::runtime_error::runtime_error;
 };
 
-/** Takes the words of one statement one after the other, each as what it has to be. */
+/** Reads the words of one statement in order and converts each to the expected type. */
 class StatementReader
 {
 public:
     explicit StatementReader(const std::string &line);
 
     bool isAtEnd() const { return next_ == words_.size(); }
-    /** Returns the next word; an error says that @c what is missing. */
+    /** Returns the next word; throws an error that names @c what when there is none. */
     std::string word(const std::string &what);
-    /** Takes the next word if it is this one. */
+    /** Consumes the next word if it equals @c expected. */
     bool accept(const std::string &expected);
-    /** Fails unless the next word is this one. */
+    /** Consumes the next word; throws unless it equals @c expected. */
     void require(const std::string &expected);
-    /** Returns a span: "300ms", "20s", "5m". */
+    /** Returns a duration: "300ms", "20s", "5m". */
     Millis span(const std::string &what);
-    /** Returns a whole number from 0. */
+    /** Returns a non-negative integer. */
     std::uint64_t number(const std::string &what);
     bool yesOrNo(const std::string &what);
-    /** Fails if words are left. */
+    /** Throws if unread words remain. */
     void finish() const;
 
 private:
--- a/modules/scenario/matrix/FaultMatrix.cpp
+++ b/modules/scenario/matrix/FaultMatrix.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-constexpr Millis pauseLength = Millis::seconds(25);
-constexpr Millis cutLength = Millis::seconds(20);
-constexpr Millis outageLength = Millis::seconds(20);
-constexpr Millis slowness{900};
-/** Nearly the longest time that a send may still be in flight. */
-constexpr Millis lateness{4500};
+constexpr Millis pauseDuration = Millis::seconds(25);
+constexpr Millis cutDuration = Millis::seconds(20);
+constexpr Millis outageDuration = Millis::seconds(20);
+constexpr Millis storeDelay{900};
+/** Just below the longest time that a send may be in flight. */
+constexpr Millis lateDelay{4500};
 
 constexpr MessageFate lostMessage{true, Millis(0)};
 
-/** Longer than any send can be under way by the assumptions of docs/ORDERS.md. */
-constexpr Millis beyondFlight = Millis::seconds(30);
+/** Longer than any send may be in flight under the assumptions of docs/ORDERS.md. */
+constexpr Millis beyondFlightDelay = Millis::seconds(30);
 
 bool isEngineMessage(const ScenarioScript &, const FakeMessage &message)
 {
@@ -24,8 +24,8 @@
 }
 
 /**
-    A request may be late without bound where its receiver checks a condition or a fence. An
-    engine that checks nothing is safe only within the longest flight.
+    A request may be delayed without bound if its receiver checks a condition or a fence. An
+    engine that checks nothing is safe only within the longest time in flight.
 */
 bool mayBeLateWithoutBound(const ScenarioScript &operation, const FakeMessage &message)
 {
@@ -64,13 +64,13 @@
                       always});
     faults.push_back({"pause",
                       [](ScenarioWorld &world, const FakeMessage &message) {
-                          world.pause(message.process, pauseLength);
+                          world.pause(message.process, pauseDuration);
                           return MessageFate{};
                       },
                       always});
     faults.push_back({"cut",
                       [](ScenarioWorld &world, const FakeMessage &message) {
-                          world.cut(message.process, "*", cutLength);
+                          world.cut(message.process, "*", cutDuration);
                           return lostMessage;
                       },
                       always});
@@ -80,24 +80,24 @@
                       [](ScenarioWorld &, const FakeMessage &) { return lostMessage; }, isRequest});
     faults.push_back({"late",
                       [](ScenarioWorld &, const FakeMessage &) {
-                          return MessageFate{false, lateness};
+                          return MessageFate{false, lateDelay};
                       },
                       isRequest});
     faults.push_back({"late-beyond",
                       [](ScenarioWorld &, const FakeMessage &) {
-                          return MessageFate{false, beyondFlight};
+                          return MessageFate{false, beyondFlightDelay};
                       },
                       mayBeLateWithoutBound});
     faults.push_back({"kill-late",
                       [](ScenarioWorld &world, const FakeMessage &message) {
                           world.killAfterSending(message.process);
-                          return MessageFate{false, lateness};
+                          return MessageFate{false, lateDelay};
                       },
                       isRequest});
     faults.push_back({"kill-late-beyond",
                       [](ScenarioWorld &world, const FakeMessage &message) {
                           world.killAfterSending(message.process);
-                          return MessageFate{false, beyondFlight};
+                          return MessageFate{false, beyondFlightDelay};
                       },
                       mayBeLateWithoutBound});
     faults.push_back({"silence",
@@ -108,13 +108,13 @@
                       always});
     faults.push_back({"store-down",
                       [](ScenarioWorld &world, const FakeMessage &) {
-                          world.storeDown(outageLength);
+                          world.storeDown(outageDuration);
                           return MessageFate{};
                       },
                       always});
     faults.push_back({"store-slow",
                       [](ScenarioWorld &world, const FakeMessage &) {
-                          world.storeSlow(slowness, outageLength);
+                          world.storeSlow(storeDelay, outageDuration);
                           return MessageFate{};
                       },
                       always});
@@ -177,7 +177,8 @@
 {
     std::vector<MatrixRow> all;
     const std::vector<MatrixRow> first = singles(seed);
-    // The second fault strikes at a step after the first; its number counts in the disturbed run.
+    // The second fault is injected at a step after the first, numbered in the run with the first
+    // one.
     constexpr std::size_t gaps[] = {1, 2, 5, 12, 30};
     for (const MatrixRow &row : first) {
         for (const MatrixFault &fault : faults()) {
@@ -192,10 +193,10 @@
     }
     if (all.size() <= limit || limit == 0)
         return all;
-    std::vector<MatrixRow> thinned;
+    std::vector<MatrixRow> sampled;
     for (std::size_t i = 0; i < limit; ++i)
-        thinned.push_back(all[i * all.size() / limit]);
-    return thinned;
+        sampled.push_back(all[i * all.size() / limit]);
+    return sampled;
 }
 
 ScenarioResult FaultMatrix::run(const MatrixRow &row, std::uint64_t seed)
--- a/modules/scenario/matrix/FaultMatrix.h
+++ b/modules/scenario/matrix/FaultMatrix.h
@@ -10,27 +10,27 @@
 
 namespace cuminrail {
 
-/** One thing that can go wrong at a message. */
+/** A fault that can be injected at a message. */
 struct MatrixFault
 {
     std::string name;
-    /** Breaks the world at this message and says what becomes of the message. */
+    /** Injects the fault at this message and returns whether the message is lost or delayed. */
     std::function<MessageFate(ScenarioWorld &, const FakeMessage &)> strike;
-    /** Whether the fault can strike there at all. */
+    /** Whether the fault can be injected at this message. */
     std::function<bool(const ScenarioScript &, const FakeMessage &)> applies;
 };
 
-/** One row: this fault at this step of this operation. */
+/** One run of the matrix: a fault, or a pair of faults, in an operation. */
 struct MatrixRow
 {
     const ScenarioScript *operation = nullptr;
     const MatrixFault *fault = nullptr;
     FakeMessage step;
-    /** Of a pair, the second fault and where it strikes. */
+    /** In a pair, the second fault and the step at which it is injected. */
     const MatrixFault *secondFault = nullptr;
     std::optional<FakeMessage> secondStep;
 
-    /** Returns "kill/order-plain:17", what --only takes. */
+    /** Returns "kill/order-plain:17", the argument of --only. */
     std::string name() const;
 };
 
@@ -41,11 +41,11 @@
 };
 
 /**
-    Every fault at every step of every operation.
+    Injects every fault at every step of every operation.
 
-    The steps of an operation are the messages of an undisturbed run, so that a message that a
-    later version adds brings its rows along. One seed gives one history, so that the disturbed
-    run is the same as the undisturbed one up to the step.
+    The steps of an operation are the messages of a run without faults, so that messages added by
+    a later version get rows of their own. Runs are deterministic for a seed, so that a run with a
+    fault is identical to the run without it up to the step.
 */
 class FaultMatrix
 {
@@ -54,9 +54,9 @@
     /** Returns the operations, written in the scenario language. */
     static const std::vector<ScenarioScript> &operations();
 
-    /** Returns the rows of single faults for a seed. */
+    /** Returns the rows with a single fault for a seed. */
     static std::vector<MatrixRow> singles(std::uint64_t seed);
-    /** Returns pairs of faults, thinned so that there are at most @c limit. */
+    /** Returns rows with two faults, sampled evenly down to @c limit; 0 returns all. */
     static std::vector<MatrixRow> pairs(std::uint64_t seed, std::size_t limit);
     static ScenarioResult run(const MatrixRow &row, std::uint64_t seed);
 };
--- a/modules/scenario/matrix/FaultMatrix_test.cpp
+++ b/modules/scenario/matrix/FaultMatrix_test.cpp
@@ -4,7 +4,8 @@
 
 using namespace cuminrail;
 
-TEST_CASE("every operation succeeds undisturbed")
+// An operation fails without any fault, which would make its rows of the matrix meaningless.
+TEST_CASE("every operation succeeds without faults")
 {
     for (const ScenarioScript &operation : FaultMatrix::operations()) {
         for (std::uint64_t seed = 1; seed <= 5; ++seed) {
@@ -20,10 +21,10 @@
     }
 }
 
-// Any process may be killed, paused or cut off, any message lost or late, the store down or slow,
-// an engine crash, at any point. Whatever strikes, the promises hold and the work is done in the
-// end.
-TEST_CASE("every fault at every step leaves every promise kept")
+// At any step a process may be killed, paused or cut off, a message lost or late, the store down or
+// slow, or an engine crash. Under each of these faults all guarantees must hold and the operation
+// must complete in the end.
+TEST_CASE("all guarantees hold under every fault at every step")
 {
     const std::vector<MatrixRow> rows = FaultMatrix::singles(1);
     CHECK(rows.size() > 500);
--- a/modules/scenario/matrix/Operations.cpp
+++ b/modules/scenario/matrix/Operations.cpp
@@ -14,7 +14,7 @@
 };
 
 const char *const orderToPlainEngine = R"(
-# Three orders in a row to an engine that takes whatever comes.
+# Three orders in a row to an engine that does not check fences.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -29,7 +29,7 @@
 )";
 
 const char *const orderToCheckingEngine = R"(
-# Three orders in a row to an engine that refuses lower fences.
+# Three orders in a row to an engine that rejects lower fences.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -44,7 +44,7 @@
 )";
 
 const char *const slowOrder = R"(
-# An order that takes longer than a change of holder, and another wish in the middle of it.
+# An order that takes longer than a change of holder, and another order requested meanwhile.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -60,8 +60,8 @@
 expect engine e2 role prefill
 )";
 
-const char *const leaseTaken = R"(
-# Three instances start and one of them takes the duty.
+const char *const leaseAcquired = R"(
+# Three instances start and one of them acquires the lease of the duty.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -93,7 +93,7 @@
 )";
 
 const char *const fleetTarget = R"(
-# Three targets for one zone, the second while the first is hardly declared.
+# Three targets for one zone, the second just after the first is declared.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -151,7 +151,7 @@
 )";
 
 const char *const idempotentCall = R"(
-# Calls that may be repeated, at three instances.
+# Idempotent calls at three instances.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -164,8 +164,8 @@
 steps from 10s to 12s
 )";
 
-const char *const lodging = R"(
-# A lodging, and its caller's repeats at other instances.
+const char *const nonIdempotentCall = R"(
+# A non-idempotent call and its caller's duplicates at other instances.
 instance a domain kgl-a
 instance b domain kgl-b
 instance c domain kgl-c
@@ -208,7 +208,7 @@
 expect holder team/north one
 )";
 
-ScenarioScript compiled(const OperationText &operation)
+ScenarioScript parseOperation(const OperationText &operation)
 {
     Reason lastReason;
     auto script = readScenario(operation.name, operation.text, &lastReason);
@@ -223,17 +223,17 @@
 const std::vector<ScenarioScript> &FaultMatrix::operations()
 {
     static const std::vector<ScenarioScript> all = {
-        compiled({"order-plain", orderToPlainEngine}),
-        compiled({"order-checking", orderToCheckingEngine}),
-        compiled({"order-slow", slowOrder}),
-        compiled({"lease-taken", leaseTaken}),
-        compiled({"lease-handed-over", leaseHandedOver}),
-        compiled({"fleet-target", fleetTarget}),
-        compiled({"idempotent-call", idempotentCall}),
-        compiled({"lodging", lodging}),
-        compiled({"graceful-stop", gracefulStop}),
-        compiled({"usage-window", usageWindow}),
-        compiled({"usage-restarts", usageRestarts}),
+        parseOperation({"order-plain", orderToPlainEngine}),
+        parseOperation({"order-checking", orderToCheckingEngine}),
+        parseOperation({"order-slow", slowOrder}),
+        parseOperation({"lease-taken", leaseAcquired}),
+        parseOperation({"lease-handed-over", leaseHandedOver}),
+        parseOperation({"fleet-target", fleetTarget}),
+        parseOperation({"idempotent-call", idempotentCall}),
+        parseOperation({"lodging", nonIdempotentCall}),
+        parseOperation({"graceful-stop", gracefulStop}),
+        parseOperation({"usage-window", usageWindow}),
+        parseOperation({"usage-restarts", usageRestarts}),
     };
     return all;
 }
--- a/modules/scenario/scenario.h
+++ b/modules/scenario/scenario.h
@@ -1,10 +1,10 @@
 #pragma once
 
 /**
-    Scenarios in a small language, the judge of the project's promises, and the fault matrix.
+    The scenario language, the checks of the system's guarantees, and the fault matrix.
 
-    Purpose: to try every promise in virtual time with the very modules that an instance runs, on
-    the fakes at the ports. See docs/SCENARIOS.md.
+    Purpose: tests every guarantee in virtual time with the same modules that an instance runs,
+    connected to fake ports. See docs/SCENARIOS.md.
 
     Depends on: every decision module and their fakes in ports/testing.
 */
--- a/modules/scenario/world/ScenarioCalls.cpp
+++ b/modules/scenario/world/ScenarioCalls.cpp
@@ -24,14 +24,14 @@
 
 void ScenarioCalls::begin(const ScenarioCall &call)
 {
-    Running running;
-    running.call = call;
-    running.traits.idempotent = call.isIdempotent;
-    running.traits.deadline = hooks_.clock.now() + callDeadline;
-    ++inProgress_;
-    budget_.countFirstAttempt();
+    ActiveCall active;
+    active.call = call;
+    active.traits.idempotent = call.isIdempotent;
+    active.traits.deadline = hooks_.clock.now() + callDeadline;
+    ++activeCalls_;
+    retryBudget_.countFirstAttempt();
     if (call.isIdempotent) {
-        send(running);
+        send(active);
         return;
     }
     ClaimRequest request;
@@ -40,67 +40,67 @@
     request.requestSha256 = call.work;
     request.deadline = hooks_.clock.now() + claimDeadline;
     claims_.begin(request,
-                  [this, running](const ClaimResult &result) { decided(running, result); });
+                  [this, active](const ClaimResult &result) { handleClaimResult(active, result); });
 }
 
-void ScenarioCalls::decided(Running running, const ClaimResult &result)
+void ScenarioCalls::handleClaimResult(ActiveCall active, const ClaimResult &result)
 {
     switch (result.decision) {
     case ClaimDecision::Run:
-        running.claim = result.token;
-        send(running);
+        active.claimToken = result.token;
+        send(active);
         return;
     case ClaimDecision::Replay:
     case ClaimDecision::RanUnstored:
-        answer(running, Verdict::Ran, result.response.body);
+        respond(active, Verdict::Ran, result.response.body);
         return;
     case ClaimDecision::InProgress:
     case ClaimDecision::MayHaveRun:
-        answer(running, Verdict::MayHaveRun, "");
+        respond(active, Verdict::MayHaveRun, "");
         return;
     case ClaimDecision::KeyReused:
     case ClaimDecision::Unavailable:
-        answer(running, Verdict::NotRun, "");
+        respond(active, Verdict::NotRun, "");
         return;
     }
 }
 
-void ScenarioCalls::send(const Running &running)
+void ScenarioCalls::send(const ActiveCall &active)
 {
     ServiceRun run;
-    run.attempt = running.call.attempt;
-    run.customer = running.call.customer;
-    run.work = running.call.work;
-    hooks_.send(run, [this, running](const ServiceReply &reply) { replied(running, reply); });
+    run.attempt = active.call.attempt;
+    run.customer = active.call.customer;
+    run.work = active.call.work;
+    hooks_.send(run, [this, active](const ServiceReply &reply) { handleReply(active, reply); });
 }
 
-void ScenarioCalls::replied(Running running, const ServiceReply &reply)
+void ScenarioCalls::handleReply(ActiveCall active, const ServiceReply &reply)
 {
     if (reply.verdict != Verdict::Ran) {
         AttemptOutcome outcome;
         outcome.verdict = reply.verdict;
         const RetryDecision decision =
-            decideRetry(running.traits, outcome, hooks_.clock.now(), budget_);
+            decideRetry(active.traits, outcome, hooks_.clock.now(), retryBudget_);
         if (decision == RetryDecision::Retry) {
-            ++running.traits.attemptsMade;
-            send(running);
+            ++active.traits.attemptsMade;
+            send(active);
             return;
         }
     }
-    if (!running.claim.empty()) {
+    if (!active.claimToken.empty()) {
         ClaimOutcome outcome;
         outcome.verdict = reply.verdict;
         outcome.response.status = 200;
         outcome.response.body = reply.body;
-        claims_.finish(running.claim, outcome);
+        claims_.finish(active.claimToken, outcome);
     }
-    answer(running, reply.verdict, reply.body);
+    respond(active, reply.verdict, reply.body);
 }
 
-void ScenarioCalls::answer(const Running &running, Verdict verdict, const std::string &body)
+void ScenarioCalls::respond(const ActiveCall &active, Verdict verdict, const std::string &body)
 {
-    --inProgress_;
-    hooks_.answer(CallerAnswer{running.call, verdict, body});
+    --activeCalls_;
+    hooks_.answer(CallerAnswer{active.call, verdict, body});
 }
 
 } // namespace cuminrail
--- a/modules/scenario/world/ScenarioCalls.h
+++ b/modules/scenario/world/ScenarioCalls.h
@@ -10,21 +10,21 @@
 
 namespace cuminrail {
 
-/** What a caller asks of an instance. */
+/** A call that a caller sends to an instance. */
 struct ScenarioCall
 {
     std::string instance;
     std::string customer;
-    /** Also the Idempotency-Key of a call that must not run twice. */
+    /** Name of the work; also the Idempotency-Key of a call that must not run twice. */
     std::string work;
-    /** Running it twice does no harm. */
+    /** Whether the call may safely run twice. */
     bool isIdempotent = false;
-    /** The life of the instance that took the call, and the name of this try. */
+    /** The incarnation of the instance that accepted the call, and the name of this attempt. */
     std::string life;
     std::string attempt;
 };
 
-/** What a caller was told. */
+/** The response that a caller got. */
 struct CallerAnswer
 {
     ScenarioCall call;
@@ -32,7 +32,7 @@
     std::string body;
 };
 
-/** The way of a call through one instance: claim, send, retry by the verdict, answer. */
+/** Processes calls in one instance: claim, send, retry according to the verdict, respond. */
 class ScenarioCalls
 {
 public:
@@ -42,9 +42,9 @@
         RandomHook random;
         Clock clock;
         ClaimManager::IncarnationEndedHook isGone;
-        /** Sends to the service. */
+        /** Sends a request to the service. */
         std::function<void(const ServiceRun &, std::function<void(const ServiceReply &)>)> send;
-        /** Answers the caller. */
+        /** Sends the response to the caller. */
         std::function<void(const CallerAnswer &)> answer;
     };
 
@@ -53,27 +53,27 @@
     ScenarioCalls &operator=(const ScenarioCalls &) = delete;
 
     void begin(const ScenarioCall &call);
-    /** Returns true when no call waits for its answer and every end of a run is written. */
-    bool isQuiet() const { return inProgress_ == 0 && claims_.pendingWrites() == 0; }
+    /** Returns true when no call awaits its response and every outcome of a run is stored. */
+    bool isQuiet() const { return activeCalls_ == 0 && claims_.pendingWrites() == 0; }
     void tick() { claims_.tick(hooks_.clock.now()); }
 
 private:
-    struct Running
+    struct ActiveCall
     {
         ScenarioCall call;
-        std::string claim;
+        std::string claimToken;
         RetryTraits traits;
     };
 
-    void decided(Running running, const ClaimResult &result);
-    void send(const Running &running);
-    void replied(Running running, const ServiceReply &reply);
-    void answer(const Running &running, Verdict verdict, const std::string &body);
+    void handleClaimResult(ActiveCall active, const ClaimResult &result);
+    void send(const ActiveCall &active);
+    void handleReply(ActiveCall active, const ServiceReply &reply);
+    void respond(const ActiveCall &active, Verdict verdict, const std::string &body);
 
     Hooks hooks_;
     ClaimManager claims_;
-    RetryBudget budget_;
-    std::size_t inProgress_ = 0;
+    RetryBudget retryBudget_;
+    std::size_t activeCalls_ = 0;
 };
 
 } // namespace cuminrail
--- a/modules/scenario/world/ScenarioInstance.cpp
+++ b/modules/scenario/world/ScenarioInstance.cpp
@@ -7,7 +7,7 @@
 ScenarioInstance::ScenarioInstance(ScenarioWorld &world, const std::string &name,
                                    Incarnation incarnation, const FailureDomainId &domain,
                                    Millis clockOffset)
-    : world_(world), life_{InstanceId(name), incarnation}, domain_(domain),
+    : world_(world), identity_{InstanceId(name), incarnation}, domain_(domain),
       clockOffset_(clockOffset), process_(std::make_shared<FakeProcess>(name))
 {
     buildOrders();
@@ -24,7 +24,7 @@
 
 std::string ScenarioInstance::lifeName() const
 {
-    return name() + "-" + std::to_string(life_.incarnation);
+    return name() + "-" + std::to_string(identity_.incarnation);
 }
 
 std::function<std::optional<Authority>()>
@@ -46,28 +46,28 @@
     hooks.duties = [this] { return world_.duties(); };
     hooks.liveMembers = [this] { return world_.liveMembers(); };
     hooks.onLeaseAcquired = [this](const std::string &duty, const Authority &) {
-        changeDuty(duty, true);
+        updateLease(duty, true);
     };
-    hooks.onLeaseLost = [this](const std::string &duty) { changeDuty(duty, false); };
-    leases_ = std::make_unique<LeaseManager>(life_, LeaseTiming{}, std::move(hooks));
+    hooks.onLeaseLost = [this](const std::string &duty) { updateLease(duty, false); };
+    leases_ = std::make_unique<LeaseManager>(identity_, LeaseTiming{}, std::move(hooks));
 }
 
 void ScenarioInstance::buildOrders()
 {
     for (const auto &[domain, engines] : world_.enginesByDomain()) {
-        EngineOrderController::Hooks track{world_.store.port(process_),
-                                           world_.enginePort(*this),
-                                           clock(),
-                                           world_.scheduler.random(),
-                                           ignoreEvents(),
-                                           {},
-                                           {},
-                                           name()};
-        track.authority = authorityFor(ScenarioWorld::domainDuty(domain));
-        auto keeper = std::make_unique<OrderManager>(OrderTiming{},
-                                                     OrderManager::Hooks{std::move(track), {}});
-        keeper->setEngines(engines);
-        orders_[domain] = std::move(keeper);
+        EngineOrderController::Hooks controllerHooks{world_.store.port(process_),
+                                                     world_.enginePort(*this),
+                                                     clock(),
+                                                     world_.scheduler.random(),
+                                                     ignoreEvents(),
+                                                     {},
+                                                     {},
+                                                     name()};
+        controllerHooks.authority = authorityFor(ScenarioWorld::domainDuty(domain));
+        auto manager = std::make_unique<OrderManager>(
+            OrderTiming{}, OrderManager::Hooks{std::move(controllerHooks), {}});
+        manager->setEngines(engines);
+        orders_[domain] = std::move(manager);
     }
 }
 
@@ -84,11 +84,11 @@
 void ScenarioInstance::buildUsage()
 {
     for (const TeamId &team : world_.teams()) {
-        UsageFlusher::Hooks flush{
+        UsageFlusher::Hooks flushHooks{
             world_.store.port(process_), clock(), world_.scheduler.random(), {}, {}};
-        flush.currentWindow = [this] { return world_.currentWindow(); };
-        flush.flushInterval = [] { return minFlushInterval / 2; };
-        flushers_[team] = std::make_unique<UsageFlusher>(team, life_, std::move(flush));
+        flushHooks.currentWindow = [this] { return world_.currentWindow(); };
+        flushHooks.flushInterval = [] { return minFlushInterval / 2; };
+        flushers_[team] = std::make_unique<UsageFlusher>(team, identity_, std::move(flushHooks));
         UsageTiming timing;
         timing.windowLength = world_.windowLength;
         timing.grace = minFlushInterval / 2;
@@ -102,7 +102,9 @@
                                    {}};
         hooks.authority = authorityFor(ScenarioWorld::teamDuty(team));
         hooks.calendar = [this] { return world_.scheduler.now(); };
-        hooks.isLive = [this](const std::string &life) { return world_.isLive(life); };
+        hooks.isLive = [this](const std::string &incarnationName) {
+            return world_.isLive(incarnationName);
+        };
         reporters_[team] = std::make_unique<UsageReporter>(team, timing, std::move(hooks));
     }
 }
@@ -111,26 +113,26 @@
 {
     ScenarioCalls::Hooks hooks{
         world_.store.port(process_), world_.scheduler.random(), clock(), {}, {}, {}};
-    hooks.isGone = [this](const InstanceId &instance, Incarnation life) {
-        return world_.isKnownGone(instance.text() + "-" + std::to_string(life));
+    hooks.isGone = [this](const InstanceId &instance, Incarnation ended) {
+        return world_.isKnownGone(instance.text() + "-" + std::to_string(ended));
     };
     hooks.send = [this](const ServiceRun &run,
                         const std::function<void(const ServiceReply &)> &done) {
         world_.service.send(process_, run, done);
     };
     hooks.answer = [this](const CallerAnswer &answer) { world_.answerCaller(answer); };
-    calls_ = std::make_unique<ScenarioCalls>(life_, std::move(hooks));
+    calls_ = std::make_unique<ScenarioCalls>(identity_, std::move(hooks));
 }
 
-void ScenarioInstance::changeDuty(const std::string &duty, bool isHeld)
+void ScenarioInstance::updateLease(const std::string &duty, bool isHeld)
 {
-    for (auto &[domain, keeper] : orders_) {
+    for (auto &[domain, manager] : orders_) {
         if (duty == ScenarioWorld::domainDuty(domain))
-            isHeld ? keeper->onLeaseAcquired() : keeper->onLeaseLost();
+            isHeld ? manager->onLeaseAcquired() : manager->onLeaseLost();
     }
-    for (auto &[zone, keeper] : zones_) {
+    for (auto &[zone, manager] : zones_) {
         if (duty == ScenarioWorld::domainDuty(zone.domain))
-            isHeld ? keeper->onLeaseAcquired() : keeper->onLeaseLost();
+            isHeld ? manager->onLeaseAcquired() : manager->onLeaseLost();
     }
     for (auto &[team, reporter] : reporters_) {
         if (duty == ScenarioWorld::teamDuty(team))
@@ -144,16 +146,16 @@
         return;
     leases_->tick();
     calls_->tick();
-    for (auto &[domain, keeper] : orders_)
-        keeper->tick();
-    for (auto &[zone, keeper] : zones_)
-        keeper->tick();
+    for (auto &[domain, manager] : orders_)
+        manager->tick();
+    for (auto &[zone, manager] : zones_)
+        manager->tick();
     for (auto &[team, flusher] : flushers_)
         flusher->tick();
     for (auto &[team, reporter] : reporters_)
         reporter->tick();
-    pursueWishes();
-    pursueTargets();
+    requestWantedOrders();
+    requestWantedTargets();
     if (!stopping_ || !leases_->isStopped() || !calls_->isQuiet())
         return;
     for (auto &[team, flusher] : flushers_) {
@@ -163,28 +165,28 @@
     process_->kill();
 }
 
-void ScenarioInstance::pursueWishes()
+void ScenarioInstance::requestWantedOrders()
 {
-    for (const auto &[engine, wish] : world_.wishes()) {
-        for (auto &[domain, keeper] : orders_) {
-            if (!keeper->isIdle(engine))
+    for (const auto &[engine, wanted] : world_.wishes()) {
+        for (auto &[domain, manager] : orders_) {
+            if (!manager->isIdle(engine))
                 continue;
-            const auto last = keeper->lastSettled(engine);
-            const bool isMet = last && last->phase == OrderPhase::Done
-                && last->order.target == wish.target && last->order.kind == wish.kind;
-            if (!isMet)
-                keeper->request(wish, nullptr);
+            const auto last = manager->lastSettled(engine);
+            const bool isSatisfied = last && last->phase == OrderPhase::Done
+                && last->order.target == wanted.target && last->order.kind == wanted.kind;
+            if (!isSatisfied)
+                manager->request(wanted, nullptr);
         }
     }
 }
 
-void ScenarioInstance::pursueTargets()
+void ScenarioInstance::requestWantedTargets()
 {
     for (const auto &[zone, count] : world_.wantedTargets()) {
-        FleetManager &keeper = *zones_.at(zone);
-        const auto last = keeper.lastRecord();
-        if (keeper.isIdle() && (!last || last->count != count))
-            keeper.request(count, nullptr);
+        FleetManager &manager = *zones_.at(zone);
+        const auto last = manager.lastRecord();
+        if (manager.isIdle() && (!last || last->count != count))
+            manager.request(count, nullptr);
     }
 }
 
--- a/modules/scenario/world/ScenarioInstance.h
+++ b/modules/scenario/world/ScenarioInstance.h
@@ -18,8 +18,8 @@
 class ScenarioWorld;
 
 /**
-    One instance of a scenario: the control state machines that a real instance runs, put together
-    in the same way, on the fakes of the world.
+    One instance of a scenario: the control state machines of a real instance, composed in the same
+    way and connected to the world's fakes.
 */
 class ScenarioInstance
 {
@@ -29,19 +29,19 @@
     ScenarioInstance(const ScenarioInstance &) = delete;
     ScenarioInstance &operator=(const ScenarioInstance &) = delete;
 
-    /** Does what is due, when the process runs. */
+    /** Performs due work if the process is running. */
     void tick();
-    /** Begins a planned stop; the process ends by itself when it has handed everything over. */
+    /** Begins a planned stop; the process exits once it has handed over all its duties and data. */
     void stop();
 
     FakeProcess &process() const { return *process_; }
     const FakeProcessPtr &processPtr() const { return process_; }
     const std::string &name() const { return process_->name(); }
     const FailureDomainId &domain() const { return domain_; }
-    /** How far this instance's clock is from virtual time. */
+    /** Offset of this instance's clock from virtual time. */
     Millis clockOffset() const { return clockOffset_; }
-    Incarnation incarnation() const { return life_.incarnation; }
-    /** Returns the name of this life as usage counters have it. */
+    Incarnation incarnation() const { return identity_.incarnation; }
+    /** Returns the name of this incarnation as used in usage counters. */
     std::string lifeName() const;
     bool isStopping() const { return stopping_; }
     ScenarioCalls &calls() { return *calls_; }
@@ -56,12 +56,12 @@
     void buildFleet();
     void buildUsage();
     void buildCalls();
-    void changeDuty(const std::string &duty, bool isHeld);
-    void pursueWishes();
-    void pursueTargets();
+    void updateLease(const std::string &duty, bool isHeld);
+    void requestWantedOrders();
+    void requestWantedTargets();
 
     ScenarioWorld &world_;
-    InstanceIncarnation life_;
+    InstanceIncarnation identity_;
     FailureDomainId domain_;
     Millis clockOffset_;
     FakeProcessPtr process_;
--- a/modules/scenario/world/ScenarioWorld.cpp
+++ b/modules/scenario/world/ScenarioWorld.cpp
@@ -5,11 +5,11 @@
 namespace cuminrail {
 
 namespace {
-constexpr Millis tickEvery{100};
-/** How long the other instances go on counting a dead one among the living. */
+constexpr Millis tickInterval{100};
+/** Time until the other instances stop listing an unresponsive instance as live. */
 constexpr Millis membershipLag = Millis::seconds(3);
-/** Clocks of two instances show different times; they only run at the same rate. */
-constexpr Millis clockStep = Millis::minutes(17);
+/** Clocks of the instances differ by this offset; they only run at the same rate. */
+constexpr Millis clockOffsetStep = Millis::minutes(17);
 } // namespace
 
 void ScenarioWorld::addInstance(const std::string &name, const FailureDomainId &domain)
@@ -29,7 +29,7 @@
     network.setHook([this](const FakeMessage &message) { return fateOf(message); });
     for (const auto &[name, domain] : domains_)
         startInstance(name);
-    scheduler.every(tickEvery, [this] {
+    scheduler.every(tickInterval, [this] {
         for (std::size_t i = 0; i < instances_.size(); ++i)
             instances_[i]->tick();
     });
@@ -38,10 +38,10 @@
 void ScenarioWorld::startInstance(const std::string &name)
 {
     const Incarnation incarnation = ++incarnations_[name];
-    const Millis offset = clockStep * static_cast<std::int64_t>(instances_.size() + 1);
+    const Millis offset = clockOffsetStep * static_cast<std::int64_t>(instances_.size() + 1);
     instances_.push_back(
         std::make_unique<ScenarioInstance>(*this, name, incarnation, domains_.at(name), offset));
-    silentSince_.erase(name);
+    unresponsiveSince_.erase(name);
 }
 
 std::vector<std::string> ScenarioWorld::duties() const
@@ -60,17 +60,18 @@
 {
     std::vector<InstanceId> live;
     for (const auto &[name, domain] : domains_) {
-        const auto since = silentSince_.find(name);
-        if (since == silentSince_.end() || scheduler.now() < since->second + membershipLag)
+        const auto unresponsive = unresponsiveSince_.find(name);
+        if (unresponsive == unresponsiveSince_.end()
+            || scheduler.now() < unresponsive->second + membershipLag)
             live.emplace_back(name);
     }
     return live;
 }
 
-bool ScenarioWorld::isLive(const std::string &life) const
+bool ScenarioWorld::isLive(const std::string &incarnationName) const
 {
     return std::any_of(instances_.begin(), instances_.end(), [&](const auto &candidate) {
-        return candidate->lifeName() == life && candidate->process().isAlive();
+        return candidate->lifeName() == incarnationName && candidate->process().isAlive();
     });
 }
 
@@ -82,7 +83,7 @@
 EngineControl ScenarioWorld::enginePort(const ScenarioInstance &instance)
 {
     EngineControl port = engines.port(instance.processPtr());
-    // The fakes know virtual time alone; an instance's instants are put back on it.
+    // The fakes use virtual time only; converts the time from the instance's clock.
     port.send = [send = port.send, &instance](EngineOrder order,
                                               const std::function<void(const OrderReply &)> &done) {
         order.notAfter = order.notAfter - instance.clockOffset();
@@ -123,39 +124,39 @@
 
 void ScenarioWorld::count(const CountedUse &use)
 {
-    ScenarioInstance *at = instance(use.instance);
-    if (at == nullptr || !at->process().isRunning(scheduler.now()) || at->isStopping())
+    ScenarioInstance *target = instance(use.instance);
+    if (target == nullptr || !target->process().isRunning(scheduler.now()) || target->isStopping())
         return;
-    at->usage(use.team).add(use.customer, use.figures);
-    counted_.push_back(use);
+    target->usage(use.team).add(use.customer, use.figures);
+    countedUse_.push_back(use);
 }
 
-bool ScenarioWorld::isKnownGone(const std::string &life) const
+bool ScenarioWorld::isKnownGone(const std::string &incarnationName) const
 {
-    const auto stopped = stopped_.find(life);
-    return stopped != stopped_.end() && scheduler.now() >= stopped->second + membershipLag;
+    const auto killed = killedAt_.find(incarnationName);
+    return killed != killedAt_.end() && scheduler.now() >= killed->second + membershipLag;
 }
 
 void ScenarioWorld::call(const ScenarioCall &call)
 {
-    ScenarioInstance *at = instance(call.instance);
-    if (at == nullptr || !at->process().isRunning(scheduler.now()) || at->isStopping())
+    ScenarioInstance *target = instance(call.instance);
+    if (target == nullptr || !target->process().isRunning(scheduler.now()) || target->isStopping())
         return;
-    ScenarioCall taken = call;
-    taken.life = at->lifeName();
-    taken.attempt = call.work + "#" + std::to_string(calls_.size());
-    calls_.push_back(taken);
-    at->calls().begin(taken);
+    ScenarioCall accepted = call;
+    accepted.life = target->lifeName();
+    accepted.attempt = call.work + "#" + std::to_string(calls_.size());
+    calls_.push_back(accepted);
+    target->calls().begin(accepted);
 }
 
 void ScenarioWorld::kill(const std::string &name)
 {
-    ScenarioInstance *victim = instance(name);
-    if (victim == nullptr || !victim->process().isAlive())
+    ScenarioInstance *target = instance(name);
+    if (target == nullptr || !target->process().isAlive())
         return;
-    victim->process().kill();
-    stopped_[victim->lifeName()] = scheduler.now();
-    silentSince_[name] = scheduler.now();
+    target->process().kill();
+    killedAt_[target->lifeName()] = scheduler.now();
+    unresponsiveSince_[name] = scheduler.now();
 }
 
 void ScenarioWorld::killAfterSending(const std::string &name)
@@ -175,11 +176,11 @@
     if (paused == nullptr)
         return;
     paused->process().pauseUntil(scheduler.now() + span);
-    silentSince_[name] = scheduler.now();
+    unresponsiveSince_[name] = scheduler.now();
     scheduler.after(span, [this, name] {
         ScenarioInstance *resumed = instance(name);
         if (resumed != nullptr && resumed->process().isAlive())
-            silentSince_.erase(name);
+            unresponsiveSince_.erase(name);
     });
 }
 
@@ -204,13 +205,13 @@
 void ScenarioWorld::loseNext(const std::string &operation, const std::string &subject,
                              MessageLeg leg, int times)
 {
-    losses_.push_back(LossRule{operation, subject, leg, times});
+    lossRules_.push_back(LossRule{operation, subject, leg, times});
 }
 
 MessageFate ScenarioWorld::fateOf(const FakeMessage &message)
 {
     MessageFate fate = matrixHook_ ? matrixHook_(message) : MessageFate{};
-    for (LossRule &rule : losses_) {
+    for (LossRule &rule : lossRules_) {
         const bool matches = rule.times > 0 && rule.leg == message.leg
             && rule.operation == message.operation
             && message.subject.compare(0, rule.subject.size(), rule.subject) == 0;
--- a/modules/scenario/world/ScenarioWorld.h
+++ b/modules/scenario/world/ScenarioWorld.h
@@ -12,7 +12,7 @@
 
 namespace cuminrail {
 
-/** What a team's customer has really used, counted where the use came about. */
+/** Actual use by a team's customer, recorded at the instance where it occurred. */
 struct CountedUse
 {
     std::string instance;
@@ -22,9 +22,9 @@
 };
 
 /**
-    Everything outside the instances of a scenario, and the instances themselves.
+    The instances of a scenario and their environment.
 
-    Holds the fakes, what operators want, and the means of breaking things.
+    Owns the fakes, the orders and fleet targets that operators request, and the fault injection.
 */
 class ScenarioWorld
 {
@@ -42,7 +42,7 @@
     FakeService service{network};
     Millis windowLength = Millis::seconds(20);
 
-    // Setting up, before start()
+    // Setup, before start()
     void addInstance(const std::string &name, const FailureDomainId &domain);
     void addEngine(const UpstreamId &id, const FailureDomainId &domain, bool checksFence,
                    Millis orderDuration);
@@ -51,12 +51,12 @@
     /** Starts all instances and their ticks. */
     void start();
 
-    // What instances ask
+    // Queries by instances
     std::vector<std::string> duties() const;
     std::vector<InstanceId> liveMembers() const;
-    bool isLive(const std::string &life) const;
-    /** Says whether a life is over, as far as the members know. */
-    bool isKnownGone(const std::string &life) const;
+    bool isLive(const std::string &incarnationName) const;
+    /** Returns true if the members know that this incarnation has ended. */
+    bool isKnownGone(const std::string &incarnationName) const;
     WindowIndex currentWindow() const;
     const std::map<FailureDomainId, std::vector<OrderedEngine>> &enginesByDomain() const
     {
@@ -65,8 +65,8 @@
     const std::vector<Zone> &zones() const { return zones_; }
     const std::map<Zone, std::uint32_t> &wantedTargets() const { return targets_; }
     const std::vector<TeamId> &teams() const { return teams_; }
-    const std::map<UpstreamId, OrderRequest> &wishes() const { return wishes_; }
-    /** The ports compare notAfter with the clock of the instance that uses them. */
+    const std::map<UpstreamId, OrderRequest> &wishes() const { return orderRequests_; }
+    /** Ports for an instance; they convert notAfter from the instance's clock to virtual time. */
     EngineControl enginePort(const ScenarioInstance &instance);
     FleetOrdering fleetPort(const ScenarioInstance &instance);
     UsageReceiver usagePort(const ScenarioInstance &instance);
@@ -76,36 +76,42 @@
     }
     static std::string teamDuty(const TeamId &team) { return "team/" + team.text(); }
 
-    // Acting and breaking
+    // Actions and fault injection
     ScenarioInstance *instance(const std::string &name);
     bool hasInstance(const std::string &name) const { return domains_.count(name) != 0; }
-    void wish(const OrderRequest &order) { wishes_[order.engine] = order; }
+    void wish(const OrderRequest &order) { orderRequests_[order.engine] = order; }
     void want(const Zone &zone, std::uint32_t count) { targets_[zone] = count; }
     void count(const CountedUse &use);
-    /** A caller asks something of an instance. */
+    /** Sends a call to an instance; ignored unless the instance runs and is not stopping. */
     void call(const ScenarioCall &call);
     void answerCaller(const CallerAnswer &answer) { answers_.push_back(answer); }
     void kill(const std::string &name);
-    /** Kills it in the next moment, when what it is just sending is on its way. */
+    /** Kills the instance in the next event, after the message being sent has left. */
     void killAfterSending(const std::string &name);
     void restart(const std::string &name);
     void pause(const std::string &name, Millis span);
     void cut(const std::string &name, const std::string &endpoint, Millis span);
     void storeDown(Millis span);
     void storeSlow(Millis delay, Millis span);
-    /** Loses the next messages that match; an empty part matches all. */
+    /**
+        Loses the next @c times messages of this operation and leg whose subject starts with
+        @c subject; an empty subject matches all.
+    */
     void loseNext(const std::string &operation, const std::string &subject, MessageLeg leg,
                   int times);
-    /** A second look at each message, for the fault matrix. */
+    /** Sets an additional hook for each message, for the fault matrix. */
     void setMatrixHook(MessageHook hook) { matrixHook_ = std::move(hook); }
 
-    // Looking
+    // Inspection
     std::vector<std::string> holders(const std::string &duty);
-    const std::vector<CountedUse> &countedUse() const { return counted_; }
+    const std::vector<CountedUse> &countedUse() const { return countedUse_; }
     const std::vector<CallerAnswer> &answers() const { return answers_; }
-    /** Returns true for a life that ended otherwise than by a planned stop. */
-    bool wasKilled(const std::string &life) const { return stopped_.count(life) != 0; }
-    /** Every call that reached a running instance. */
+    /** Returns true for an incarnation that ended other than by a planned stop. */
+    bool wasKilled(const std::string &incarnationName) const
+    {
+        return killedAt_.count(incarnationName) != 0;
+    }
+    /** Returns every call that reached a running instance. */
     const std::vector<ScenarioCall> &calls() const { return calls_; }
 
 private:
@@ -127,11 +133,11 @@
     std::vector<Zone> zones_;
     std::map<Zone, std::uint32_t> targets_;
     std::vector<TeamId> teams_;
-    std::map<UpstreamId, OrderRequest> wishes_;
-    std::vector<CountedUse> counted_;
-    std::vector<LossRule> losses_;
-    std::map<std::string, Millis> silentSince_;
-    std::map<std::string, Millis> stopped_;
+    std::map<UpstreamId, OrderRequest> orderRequests_;
+    std::vector<CountedUse> countedUse_;
+    std::vector<LossRule> lossRules_;
+    std::map<std::string, Millis> unresponsiveSince_;
+    std::map<std::string, Millis> killedAt_;
     std::vector<CallerAnswer> answers_;
     std::vector<ScenarioCall> calls_;
     MessageHook matrixHook_;
