--- a/modules/emulation/emulation.h
+++ b/modules/emulation/emulation.h
@@ -1,12 +1,12 @@
 #pragma once
 
 /**
-    Plays days of load against emulated engines, with the decisions that instances really take.
+    Simulates load scenarios against emulated engines, using the production placement code.
 
-    Purpose: engines that read prompts in chunks and generate in batches, with shared memory for
-    cached parts, stages, handles and transfers; load from a file and a seed; several placements
-    side by side over the same requests; figures and series of one run. docs/EMULATION.md tells how
-    close it comes to measured days.
+    Purpose: engines with chunked prefill and batched decoding, memory shared with cached prompt
+    parts, stages, cache handles and transfers; load generated from a file and a seed; several
+    placement policies compared on the same requests; summary and time series of one run.
+    docs/EMULATION.md compares the results with measured days.
 
     Depends on: core, dataplane, readingbooks, nlohmann-json.
 */
--- a/modules/emulation/engine/EmulatedEngine.cpp
+++ b/modules/emulation/engine/EmulatedEngine.cpp
@@ -12,7 +12,7 @@
 {
     if (!isAlive_)
         return EngineRefusal::Gone;
-    if (wanted_)
+    if (orderedStage_)
         return EngineRefusal::Changing;
     if (job.isPrefillOnly != (stage_ == EngineStage::Prefill))
         return EngineRefusal::WrongStage;
@@ -41,7 +41,7 @@
 
 bool EmulatedEngine::takeHandle(std::uint64_t id, double now)
 {
-    dropHandles(now);
+    expireHandles(now);
     const auto found = handles_.find(id);
     if (!isAlive_ || found == handles_.end())
         return false;
@@ -50,13 +50,13 @@
     return true;
 }
 
-void EmulatedEngine::dropHandles(double now)
+void EmulatedEngine::expireHandles(double now)
 {
     for (auto handle = handles_.begin(); handle != handles_.end();) {
-        const bool isOver = handle->second.expires <= now;
-        if (isOver)
+        const bool isExpired = handle->second.expires <= now;
+        if (isExpired)
             memory_.release(handle->second.tokens);
-        handle = isOver ? handles_.erase(handle) : std::next(handle);
+        handle = isExpired ? handles_.erase(handle) : std::next(handle);
     }
 }
 
@@ -71,16 +71,16 @@
     running_.clear();
     handles_.clear();
     memory_.clear();
-    wanted_.reset();
+    orderedStage_.reset();
     isAlive_ = false;
     return lost;
 }
 
 std::optional<std::vector<std::uint64_t>> EmulatedEngine::orderStage(EngineStage stage)
 {
-    if (!isAlive_ || wanted_ || stage == stage_)
+    if (!isAlive_ || orderedStage_ || stage == stage_)
         return std::nullopt;
-    wanted_ = stage;
+    orderedStage_ = stage;
     std::vector<std::uint64_t> refused;
     for (const EngineJob &job : waiting_)
         refused.push_back(job.id);
@@ -90,15 +90,15 @@
 
 std::optional<double> EmulatedEngine::beginChange()
 {
-    if (!wanted_ || hasWork())
+    if (!orderedStage_ || hasWork())
         return std::nullopt;
     return figures_->stageSwitchMs;
 }
 
 void EmulatedEngine::endChange()
 {
-    stage_ = wanted_.value_or(stage_);
-    wanted_.reset();
+    stage_ = orderedStage_.value_or(stage_);
+    orderedStage_.reset();
 }
 
 void EmulatedEngine::admit()
@@ -106,16 +106,17 @@
     while (!waiting_.empty() && static_cast<int>(running_.size()) < figures_->slots) {
         Active active;
         active.job = waiting_.front();
-        const double answer = double(active.job.events) * figures_->tokensPerEvent;
-        active.reserved = active.job.chain.tokens + (active.job.isPrefillOnly ? 0 : answer);
+        const double responseTokens = double(active.job.events) * figures_->tokensPerEvent;
+        active.reserved = active.job.chain.tokens + (active.job.isPrefillOnly ? 0 : responseTokens);
         if (!memory_.reserve(active.reserved))
             return;
         waiting_.erase(waiting_.begin());
         const double kept = std::max(memory_.held(active.job.chain), active.job.fetchedTokens);
         memory_.touch(active.job.chain);
-        active.unread = active.job.isFetched ? 0 : std::max(1.0, active.job.chain.tokens - kept);
+        active.remainingPrefill =
+            active.job.isFetched ? 0 : std::max(1.0, active.job.chain.tokens - kept);
         if (!active.job.isFetched) {
-            work_.read += active.unread;
+            work_.read += active.remainingPrefill;
             work_.kept += kept;
         }
         running_.push_back(std::move(active));
@@ -130,19 +131,19 @@
     return tokens;
 }
 
-double EmulatedEngine::planReading(const Active *&reader)
+double EmulatedEngine::planPrefill(const Active *&lastPrefill)
 {
     const bool isDecode = stage_ == EngineStage::Decode;
-    double left = figures_->chunkTokens * (isDecode ? figures_->decodeChunkFactor : 1);
+    double remainingTokens = figures_->chunkTokens * (isDecode ? figures_->decodeChunkFactor : 1);
     double millis = 0;
     const double rate = figures_->promptTokensPerMs * (isDecode ? figures_->decodeReadFactor : 1);
     for (Active &active : running_) {
-        active.planned = std::min(active.unread, left);
-        left -= active.planned;
+        active.planned = std::min(active.remainingPrefill, remainingTokens);
+        remainingTokens -= active.planned;
         if (active.planned <= 0)
             continue;
-        reader = &active;
-        const double before = active.job.chain.tokens - active.unread;
+        lastPrefill = &active;
+        const double before = active.job.chain.tokens - active.remainingPrefill;
         millis +=
             active.planned / rate + active.planned * before / 1e6 * figures_->pairMsPerMillion;
     }
@@ -151,16 +152,17 @@
 
 double EmulatedEngine::beginStep(double now)
 {
-    dropHandles(now);
+    expireHandles(now);
     admit();
     if (running_.empty())
         return 0;
-    const Active *reader = nullptr;
-    const double reading = planReading(reader);
-    const auto writing = std::count_if(running_.begin(), running_.end(),
-                                       [](const Active &active) { return active.unread <= 0; });
-    double millis = reading;
-    if (writing > 0 || stage_ != EngineStage::Prefill)
+    const Active *lastPrefill = nullptr;
+    const double prefillMs = planPrefill(lastPrefill);
+    const auto decoding = std::count_if(running_.begin(), running_.end(), [](const Active &active) {
+        return active.remainingPrefill <= 0;
+    });
+    double millis = prefillMs;
+    if (decoding > 0 || stage_ != EngineStage::Prefill)
         millis += figures_->stepMs + figures_->stepMsPerRequest * double(running_.size())
             + figures_->stepMsPerContextThousand * contextTokens() / 1000;
     work_.busyMs += millis;
@@ -168,25 +170,25 @@
     return std::max(millis, 0.1);
 }
 
-void EmulatedEngine::readStep(Active &active, double now, std::vector<EngineOutput> &outputs)
+void EmulatedEngine::advancePrefill(Active &active, double now, std::vector<EngineOutput> &outputs)
 {
-    active.unread -= active.planned;
-    if (active.unread > 0)
+    active.remainingPrefill -= active.planned;
+    if (active.remainingPrefill > 0)
         return;
     memory_.keep(active.job.chain);
     if (!active.job.isPrefillOnly)
         return;
-    // The cache stays reserved until it is fetched.
+    // The cache stays reserved until it is fetched or expires.
     handles_[active.job.id] = Handle{now + figures_->handleMs, active.reserved};
     active.reserved = 0;
     active.events = active.job.events;
     outputs.push_back({active.job.id, EngineSign::PromptRead, figures_->firstMs});
 }
 
-void EmulatedEngine::writeStep(Active &active, std::vector<EngineOutput> &outputs) const
+void EmulatedEngine::advanceDecode(Active &active, std::vector<EngineOutput> &outputs) const
 {
     ++active.tokens;
-    // The first event holds the first token alone; callers wait for it.
+    // The first event holds only the first token, since callers wait for it.
     const bool isEventFull =
         active.tokens == 1 || (active.tokens - 1) % figures_->tokensPerEvent == 0;
     if (!isEventFull)
@@ -203,10 +205,10 @@
 {
     std::vector<EngineOutput> outputs;
     for (Active &active : running_) {
-        if (active.unread > 0)
-            readStep(active, now, outputs);
+        if (active.remainingPrefill > 0)
+            advancePrefill(active, now, outputs);
         else
-            writeStep(active, outputs);
+            advanceDecode(active, outputs);
     }
     for (const Active &active : running_) {
         if (active.events >= active.job.events)
--- a/modules/emulation/engine/EmulatedEngine.h
+++ b/modules/emulation/engine/EmulatedEngine.h
@@ -11,31 +11,31 @@
 
 namespace cuminrail::emulation {
 
-/** A request, or the reading of its prompt, at an engine. */
+/** A request at an engine, or only the prefill of its prompt. */
 struct EngineJob
 {
     std::uint64_t id = 0;
-    /** 0 is admitted first. */
+    /** Lower values are admitted first, from 0. */
     int urgency = 5;
     PromptChain chain;
-    /** Only read the prompt, and keep its cache for another engine. */
+    /** Prefill only; the cache is retained for another engine. */
     bool isPrefillOnly = false;
-    /** The cache was fetched from another engine: nothing is left to read. */
+    /** The cache was fetched from another engine, so no prefill remains. */
     bool isFetched = false;
-    /** Tokens from the prompt's start on that were fetched from another engine's memory. */
+    /** Length in tokens of the prefix fetched from another engine's memory. */
     double fetchedTokens = 0;
-    /** Events to write; of a resumed answer, those that are left. */
+    /** Events to generate; the remaining ones for a resumed response. */
     int events = 1;
 };
 
-/** Why an engine does not take a job; it states that nothing of it will run. */
+/** Why an engine rejects a job; guarantees that no part of the job runs. */
 enum class EngineRefusal : std::uint8_t { Gone, WrongStage, Changing, Full };
 
 enum class EngineSign : std::uint8_t {
-    /** A prefill-only job is over. */
+    /** A prefill-only job finished. */
     PromptRead,
     Event,
-    /** The last event was written. */
+    /** The last event was generated. */
     Done,
 };
 
@@ -43,16 +43,16 @@
 {
     std::uint64_t job = 0;
     EngineSign sign = EngineSign::Event;
-    /** After the end of the step. */
+    /** Delay after the end of the step. */
     double delayMs = 0;
 };
 
 /**
-    One engine: continuous batching, prompts read in chunks between the tokens of running requests,
-    memory shared by cached parts and running requests, a stage that can be changed.
+    Model of one engine: continuous batching, chunked prefill interleaved with decoding, memory
+    shared by cached parts and running requests, a stage that can be changed.
 
-    Simplified against real engines: a request whose memory is missing waits, where real ones put
-    running requests back.
+    Simplification: a request waits until its memory can be reserved, whereas real engines preempt
+    running requests.
 */
 class EmulatedEngine
 {
@@ -61,33 +61,33 @@
 
     std::optional<EngineRefusal> offer(const EngineJob &job);
     void cancel(std::uint64_t id);
-    /** Fetching: takes a cache that waits here. False if it is gone. */
+    /** Removes a cache that another engine fetches. Returns false if it expired or is unknown. */
     bool takeHandle(std::uint64_t id, double now);
-    /** Everything is lost. Returns the jobs that were here. */
+    /** Drops all jobs and memory. Returns the jobs that were queued or running. */
     std::vector<std::uint64_t> crash();
     void restart() { isAlive_ = true; }
     /**
-        Takes effect once running work is over, and some time later. Returns the jobs that had not
-        begun and are refused now; nothing when the order does not hold here.
+        Orders a stage change, which starts once running work has finished. Returns the queued
+        jobs, which are rejected now; nullopt if the order does not apply.
     */
     std::optional<std::vector<std::uint64_t>> orderStage(EngineStage stage);
 
     bool hasWork() const { return !running_.empty() || !waiting_.empty(); }
-    /** Plans the next step. Returns how long it takes; 0 when there is nothing to do. */
+    /** Plans the next step. Returns its duration; 0 if there is no work. */
     double beginStep(double now);
     std::vector<EngineOutput> endStep(double now);
-    /** A change of stage is due: nothing runs any more. Returns after how long it is over. */
+    /** Returns the duration of an ordered stage change once no work is left, nullopt before. */
     std::optional<double> beginChange();
     void endChange();
 
     bool isAlive() const { return isAlive_; }
-    bool isChanging() const { return wanted_.has_value(); }
+    bool isChanging() const { return orderedStage_.has_value(); }
     EngineStage stage() const { return stage_; }
     int running() const { return static_cast<int>(running_.size()); }
     int waiting() const { return static_cast<int>(waiting_.size()); }
     const PartMemory &memory() const { return memory_; }
 
-    /** What it has done so far, in prompt tokens. */
+    /** Work done so far; prompt tokens computed and reused from the cache. */
     struct Work
     {
         double read = 0;
@@ -103,7 +103,7 @@
     struct Active
     {
         EngineJob job;
-        double unread = 0;
+        double remainingPrefill = 0;
         double planned = 0;
         double reserved = 0;
         int tokens = 0;
@@ -116,15 +116,15 @@
     };
 
     void admit();
-    double planReading(const Active *&reader);
+    double planPrefill(const Active *&lastPrefill);
     double contextTokens() const;
-    void dropHandles(double now);
-    void readStep(Active &active, double now, std::vector<EngineOutput> &outputs);
-    void writeStep(Active &active, std::vector<EngineOutput> &outputs) const;
+    void expireHandles(double now);
+    void advancePrefill(Active &active, double now, std::vector<EngineOutput> &outputs);
+    void advanceDecode(Active &active, std::vector<EngineOutput> &outputs) const;
 
     const EngineFigures *figures_;
     EngineStage stage_;
-    std::optional<EngineStage> wanted_;
+    std::optional<EngineStage> orderedStage_;
     bool isAlive_ = true;
     PartMemory memory_;
     std::vector<EngineJob> waiting_;
--- a/modules/emulation/engine/EmulatedEngine_test.cpp
+++ b/modules/emulation/engine/EmulatedEngine_test.cpp
@@ -26,18 +26,18 @@
     return made;
 }
 
-/** What became of a run, and when. */
-struct Played
+/** Outputs of one job and their times. */
+struct JobOutcome
 {
     double firstAt = 0;
     double doneAt = 0;
     int events = 0;
 };
 
-/** Steps an engine until it has no more work; returns what came for one job. */
-Played play(EmulatedEngine &engine, std::uint64_t id)
+/** Steps an engine until it is idle; returns the outputs of one job. */
+JobOutcome play(EmulatedEngine &engine, std::uint64_t id)
 {
-    Played played;
+    JobOutcome outcome;
     double now = 0;
     for (double millis = engine.beginStep(now); millis > 0; millis = engine.beginStep(now)) {
         now += millis;
@@ -45,34 +45,34 @@
             if (output.job != id)
                 continue;
             const double at = now + output.delayMs;
-            played.events += output.sign == EngineSign::Event ? 1 : 0;
-            if (played.firstAt == 0)
-                played.firstAt = at;
-            played.doneAt = at;
+            outcome.events += output.sign == EngineSign::Event ? 1 : 0;
+            if (outcome.firstAt == 0)
+                outcome.firstAt = at;
+            outcome.doneAt = at;
         }
     }
-    return played;
+    return outcome;
 }
 
 } // namespace
 
-TEST_CASE("a prompt takes the time that the figures say")
+TEST_CASE("prefill and decoding take the modelled time")
 {
     const EngineFigures figures;
     EmulatedEngine engine(figures, EngineStage::Decode);
     CHECK_FALSE(engine.offer(job(1, chain("a", 1000, 835), 4)).has_value());
-    const Played played = play(engine, 1);
-    CHECK(played.events == 4);
-    // 1,835 tokens at half of 36.7 a millisecond are 100 ms; four steps, one that writes, the
-    // start.
-    CHECK(played.firstAt > 100);
-    CHECK(played.firstAt < 160);
+    const JobOutcome outcome = play(engine, 1);
+    CHECK(outcome.events == 4);
+    // 1,835 tokens at half of 36.7 per ms take 100 ms, plus four prefill steps, one decode step
+    // and the delay of the first event.
+    CHECK(outcome.firstAt > 100);
+    CHECK(outcome.firstAt < 160);
     // Three more events of eight steps each.
-    CHECK(played.doneAt - played.firstAt > 3 * 8 * figures.stepMs - 25);
-    CHECK(played.doneAt - played.firstAt < 3 * 8 * figures.stepMs + 10);
+    CHECK(outcome.doneAt - outcome.firstAt > 3 * 8 * figures.stepMs - 25);
+    CHECK(outcome.doneAt - outcome.firstAt < 3 * 8 * figures.stepMs + 10);
 }
 
-TEST_CASE("parts that were read are not read again, until memory yields the oldest")
+TEST_CASE("cached parts skip prefill until they are evicted as least recently used")
 {
     EngineFigures figures;
     figures.memoryTokens = 10000;
@@ -88,22 +88,22 @@
     CHECK(play(engine, 4).firstAt == doctest::Approx(cold).epsilon(0.05));
 }
 
-TEST_CASE("an engine takes what fits its stage, and a cache is fetched once")
+TEST_CASE("an engine accepts only jobs of its stage, and a cache is fetched once")
 {
     const EngineFigures figures;
-    EmulatedEngine reader(figures, EngineStage::Prefill);
-    EngineJob reading = job(1, chain("a", 4000, 100));
-    CHECK(reader.offer(reading) == EngineRefusal::WrongStage);
-    reading.isPrefillOnly = true;
-    CHECK_FALSE(reader.offer(reading).has_value());
-    CHECK(play(reader, 1).firstAt > 0);
-    CHECK(reader.memory().reserved() > 4000);
-    CHECK(reader.takeHandle(1, 100));
-    CHECK_FALSE(reader.takeHandle(1, 100));
-    CHECK(reader.memory().reserved() == 0);
+    EmulatedEngine prefillEngine(figures, EngineStage::Prefill);
+    EngineJob prefillJob = job(1, chain("a", 4000, 100));
+    CHECK(prefillEngine.offer(prefillJob) == EngineRefusal::WrongStage);
+    prefillJob.isPrefillOnly = true;
+    CHECK_FALSE(prefillEngine.offer(prefillJob).has_value());
+    CHECK(play(prefillEngine, 1).firstAt > 0);
+    CHECK(prefillEngine.memory().reserved() > 4000);
+    CHECK(prefillEngine.takeHandle(1, 100));
+    CHECK_FALSE(prefillEngine.takeHandle(1, 100));
+    CHECK(prefillEngine.memory().reserved() == 0);
 }
 
-TEST_CASE("a change of stage refuses what waits, and lets running work end")
+TEST_CASE("a stage change rejects queued jobs and lets running work finish")
 {
     EngineFigures figures;
     figures.slots = 1;
@@ -123,15 +123,15 @@
     CHECK(engine.stage() == EngineStage::Prefill);
 }
 
-// Reading in the engine's batch lengthens each step, so streams pause.
-TEST_CASE("a long prompt stretches the pauses of a stream beside it")
+// Prefill in the same batch lengthens each step, which delays the events of running streams.
+TEST_CASE("a long prompt lengthens the pauses of a concurrent stream")
 {
     const EngineFigures figures;
     EmulatedEngine alone(figures, EngineStage::Decode);
     alone.offer(job(1, chain("a", 100, 100), 20));
-    const double calm = play(alone, 1).doneAt;
+    const double aloneDoneAt = play(alone, 1).doneAt;
     EmulatedEngine beside(figures, EngineStage::Decode);
     beside.offer(job(1, chain("a", 100, 100), 20));
     beside.offer(job(2, chain("b", 20000, 100), 1));
-    CHECK(play(beside, 1).doneAt > calm + 900);
+    CHECK(play(beside, 1).doneAt > aloneDoneAt + 900);
 }
--- a/modules/emulation/engine/PartMemory.cpp
+++ b/modules/emulation/engine/PartMemory.cpp
@@ -15,7 +15,7 @@
 
 void PartMemory::touch(const PromptChain &chain)
 {
-    // The first part is used last: without it the others are of no use, so it must go last.
+    // Touches the first part last, so that it is evicted last: the others are useless without it.
     for (auto link = chain.links.rbegin(); link != chain.links.rend(); ++link) {
         const auto found = byKey_.find(link->key);
         if (found != byKey_.end())
@@ -33,7 +33,7 @@
         cached_ += link.tokens;
     }
     touch(chain);
-    shrinkTo(capacity_ - reserved_);
+    evictTo(capacity_ - reserved_);
 }
 
 bool PartMemory::reserve(double tokens)
@@ -41,11 +41,11 @@
     if (reserved_ + tokens > capacity_)
         return false;
     reserved_ += tokens;
-    shrinkTo(capacity_ - reserved_);
+    evictTo(capacity_ - reserved_);
     return true;
 }
 
-void PartMemory::shrinkTo(double tokens)
+void PartMemory::evictTo(double tokens)
 {
     while (cached_ > tokens && !recent_.empty()) {
         cached_ -= recent_.back().tokens;
--- a/modules/emulation/engine/PartMemory.h
+++ b/modules/emulation/engine/PartMemory.h
@@ -8,21 +8,22 @@
 namespace cuminrail::emulation {
 
 /**
-    The parts of prompts that an engine holds. Running requests and cached parts share the memory;
-    the least recently used part yields.
+    Prefix cache of an engine. Running requests and cached prompt parts share the memory; the least
+    recently used parts are evicted.
 */
 class PartMemory
 {
 public:
     explicit PartMemory(double capacityTokens) : capacity_(capacityTokens) { }
 
-    /** Returns the tokens that are held from the prompt's start on, without a gap. */
+    /** Returns the length in tokens of the longest cached prefix of the prompt. */
     double held(const PromptChain &chain) const;
-    /** Marks what is held of the prompt as used just now. */
+    /** Marks the cached parts of the prompt as most recently used. */
     void touch(const PromptChain &chain);
-    /** Keeps a prompt that has been read. */
+    /** Caches the parts of a prompt after its prefill. */
     void keep(const PromptChain &chain);
-    /** Takes room for a running request, from cached parts. Returns false if there is none. */
+    /** Reserves memory for a running request, evicting cached parts. Returns false if it is full.
+     */
     bool reserve(double tokens);
     void release(double tokens) { reserved_ -= tokens; }
     void clear();
@@ -31,7 +32,7 @@
     double cached() const { return cached_; }
 
 private:
-    void shrinkTo(double tokens);
+    void evictTo(double tokens);
 
     std::list<ChainLink> recent_;
     std::unordered_map<std::uint64_t, std::list<ChainLink>::iterator> byKey_;
--- a/modules/emulation/load/ArrivalPlan.cpp
+++ b/modules/emulation/load/ArrivalPlan.cpp
@@ -15,15 +15,15 @@
     if (size.spread <= 0)
         return std::min(size.mean, size.most);
     // The mean of a log-normal lies above its median by half of the squared spread.
-    const double median = std::log(size.mean) - size.spread * size.spread / 2;
-    std::lognormal_distribution<double> sizes(median, size.spread);
+    const double logMedian = std::log(size.mean) - size.spread * size.spread / 2;
+    std::lognormal_distribution<double> sizes(logMedian, size.spread);
     return std::clamp(sizes(random), 1.0, size.most);
 }
 
-/** The parts of one sort, each with its size and how often it is used. */
+/** One pool of shared parts, with the size and the use frequency of each part. */
 struct Parts
 {
-    /** Differs from seed to seed, so that homes are drawn anew as well. */
+    /** Includes the seed, so that placement by hash differs between seeds as well. */
     std::string name;
     std::vector<std::uint32_t> tokens;
     std::discrete_distribution<std::size_t> choice;
@@ -45,19 +45,19 @@
 {
     double factor = 1;
     for (const Surge &surge : plan.surges) {
-        const bool isMeant = surge.kind.empty() || surge.kind == kind.name;
-        if (isMeant && time >= surge.fromMs && time < surge.toMs)
+        const bool appliesToKind = surge.kind.empty() || surge.kind == kind.name;
+        if (appliesToKind && time >= surge.fromMs && time < surge.toMs)
             factor *= surge.factor;
     }
     return factor;
 }
 
-double highestFactor(const LoadPlan &plan, const LoadKind &kind)
+double peakFactor(const LoadPlan &plan, const LoadKind &kind)
 {
-    double highest = 1;
+    double peak = 1;
     for (const Surge &surge : plan.surges)
-        highest = std::max(highest, factorAt(plan, kind, surge.fromMs));
-    return highest;
+        peak = std::max(peak, factorAt(plan, kind, surge.fromMs));
+    return peak;
 }
 
 LoadRequest drawRequest(Generator &random, const LoadPlan &plan, std::size_t kindIndex,
@@ -97,15 +97,16 @@
             parts.back().name =
                 kind.name + "-" + std::to_string(seed) + "-" + std::to_string(parts.size());
         }
-        const double highest = highestFactor(plan, kind);
+        const double peak = peakFactor(plan, kind);
         if (kind.perSecond <= 0)
             continue;
-        // Thinning: arrivals at the highest rate, of which each is kept with the part that its
-        // moment's rate has of the highest.
-        std::exponential_distribution<double> pause(kind.perSecond * highest / 1000);
-        std::uniform_real_distribution<double> share(0, highest);
-        for (double time = pause(random); time < plan.lengthMs; time += pause(random)) {
-            if (share(random) >= factorAt(plan, kind, time))
+        // Thinning: generates arrivals at the peak rate and accepts each with the probability
+        // of the current rate divided by the peak rate.
+        std::exponential_distribution<double> interarrival(kind.perSecond * peak / 1000);
+        std::uniform_real_distribution<double> acceptance(0, peak);
+        for (double time = interarrival(random); time < plan.lengthMs;
+             time += interarrival(random)) {
+            if (acceptance(random) >= factorAt(plan, kind, time))
                 continue;
             LoadRequest request = drawRequest(random, plan, index, parts, requests.size());
             request.atMs = time;
--- a/modules/emulation/load/ArrivalPlan.h
+++ b/modules/emulation/load/ArrivalPlan.h
@@ -8,19 +8,19 @@
 
 namespace cuminrail::emulation {
 
-/** One request of a day. */
+/** One request of a simulated load. */
 struct LoadRequest
 {
     double atMs = 0;
-    /** Place in LoadPlan::kinds. */
+    /** Index into LoadPlan::kinds. */
     std::size_t kind = 0;
-    /** The instance that its caller is connected to. */
+    /** Index of the instance that receives the request. */
     std::size_t instance = 0;
     PromptShape prompt;
     int events = 1;
 };
 
-/** Returns a day's requests in the order of arrival; the same for the same plan and seed. */
+/** Generates the requests in order of arrival; deterministic for a given plan and seed. */
 std::vector<LoadRequest> drawArrivals(const LoadPlan &plan, std::uint64_t seed);
 
 } // namespace cuminrail::emulation
--- a/modules/emulation/load/LoadFile.cpp
+++ b/modules/emulation/load/LoadFile.cpp
@@ -11,11 +11,11 @@
 
 using nlohmann::json;
 
-/** Where a mistake is and what is wrong; leaves the parser by one way from any depth. */
-class Mistake : public std::runtime_error
+/** A validation error with its path; thrown from any depth of the parser. */
+class ValidationError : public std::runtime_error
 {
 public:
-    Mistake(std::string where, const std::string &what)
+    ValidationError(std::string where, const std::string &what)
         : std::runtime_error(what), where_(std::move(where))
     { }
     const std::string &where() const { return where_; }
@@ -24,42 +24,42 @@
     std::string where_;
 };
 
-/** One object of the file; every member must be asked for, or it is unknown. */
-class Members
+/** Typed access to one JSON object; members that were never read are rejected as unknown. */
+class ObjectReader
 {
 public:
-    Members(const json &object, std::string path) : object_(object), path_(std::move(path))
+    ObjectReader(const json &object, std::string path) : object_(object), path_(std::move(path))
     {
         if (!object.is_object())
-            throw Mistake(path_.empty() ? "file" : path_, "must be an object");
+            throw ValidationError(path_.empty() ? "file" : path_, "must be an object");
     }
 
-    void number(const char *name, double &value, double least = 0)
+    void number(const char *name, double &value, double minimum = 0)
     {
         const json *found = find(name);
         if (found == nullptr)
             return;
         if (!found->is_number())
-            throw Mistake(at(name), "must be a number");
+            throw ValidationError(at(name), "must be a number");
         value = found->get<double>();
-        if (value < least)
-            throw Mistake(at(name), "must not be below " + json(least).dump());
+        if (value < minimum)
+            throw ValidationError(at(name), "must not be below " + json(minimum).dump());
     }
 
     void positive(const char *name, double &value)
     {
         number(name, value);
         if (value <= 0)
-            throw Mistake(at(name), "must be above 0");
+            throw ValidationError(at(name), "must be above 0");
     }
 
-    void whole(const char *name, int &value, int least = 0)
+    void whole(const char *name, int &value, int minimum = 0)
     {
         double asNumber = value;
-        number(name, asNumber, least);
+        number(name, asNumber, minimum);
         value = static_cast<int>(asNumber);
         if (asNumber != double(value))
-            throw Mistake(at(name), "must be a whole number");
+            throw ValidationError(at(name), "must be a whole number");
     }
 
     void text(const char *name, std::string &value)
@@ -68,7 +68,7 @@
         if (found == nullptr)
             return;
         if (!found->is_string())
-            throw Mistake(at(name), "must be a text");
+            throw ValidationError(at(name), "must be a text");
         value = found->get<std::string>();
     }
 
@@ -78,7 +78,7 @@
         if (found == nullptr)
             return;
         if (!found->is_boolean())
-            throw Mistake(at(name), "must be true or false");
+            throw ValidationError(at(name), "must be true or false");
         value = found->get<bool>();
     }
 
@@ -86,9 +86,9 @@
     void object(const char *name, Read read)
     {
         if (const json *found = find(name)) {
-            Members members(*found, at(name));
+            ObjectReader members(*found, at(name));
             read(members);
-            members.end();
+            members.rejectUnknown();
         }
     }
 
@@ -99,7 +99,7 @@
         if (found == nullptr)
             return;
         if (!found->is_array())
-            throw Mistake(at(name), "must be a list");
+            throw ValidationError(at(name), "must be a list");
         for (std::size_t i = 0; i < found->size(); ++i) {
             const std::string path = at(name) + "[" + std::to_string(i) + "]";
             Value value;
@@ -108,18 +108,18 @@
         }
     }
 
-    void end() const
+    void rejectUnknown() const
     {
         for (const auto &entry : object_.items()) {
-            if (known_.count(entry.key()) == 0)
-                throw Mistake(at(entry.key().c_str()), "is not known");
+            if (readNames_.count(entry.key()) == 0)
+                throw ValidationError(at(entry.key().c_str()), "is not known");
         }
     }
 
 private:
     const json *find(const char *name)
     {
-        known_.insert(name);
+        readNames_.insert(name);
         const auto found = object_.find(name);
         return found == object_.end() ? nullptr : &*found;
     }
@@ -127,40 +127,40 @@
 
     const json &object_;
     std::string path_;
-    std::set<std::string> known_;
+    std::set<std::string> readNames_;
 };
 
 template<typename Value, typename Fill>
-auto reading(Fill fill)
+auto elementReader(Fill fill)
 {
     return [fill](const json &object, const std::string &path, Value &value) {
-        Members members(object, path);
+        ObjectReader members(object, path);
         fill(members, value);
-        members.end();
+        members.rejectUnknown();
     };
 }
 
-void readSpread(Members &members, SizeSpread &size)
+void readSpread(ObjectReader &members, SizeSpread &size)
 {
     members.positive("mean", size.mean);
     members.number("spread", size.spread);
     members.positive("most", size.most);
 }
 
-void readShared(Members &members, SharedParts &parts)
+void readShared(ObjectReader &members, SharedParts &parts)
 {
     members.whole("count", parts.count, 1);
-    members.object("tokens", [&](Members &size) { readSpread(size, parts.tokens); });
+    members.object("tokens", [&](ObjectReader &size) { readSpread(size, parts.tokens); });
     members.number("skew", parts.skew);
 }
 
-void readKind(Members &members, LoadKind &kind)
+void readKind(ObjectReader &members, LoadKind &kind)
 {
     members.text("name", kind.name);
     members.number("per_second", kind.perSecond);
-    members.list("shared", kind.shared, reading<SharedParts>(readShared));
-    members.object("own_tokens", [&](Members &size) { readSpread(size, kind.ownTokens); });
-    members.object("events", [&](Members &size) { readSpread(size, kind.events); });
+    members.list("shared", kind.shared, elementReader<SharedParts>(readShared));
+    members.object("own_tokens", [&](ObjectReader &size) { readSpread(size, kind.ownTokens); });
+    members.object("events", [&](ObjectReader &size) { readSpread(size, kind.events); });
     members.positive("goal_ms", kind.goalMs);
     members.positive("pause_goal_ms", kind.pauseGoalMs);
     members.positive("deadline_ms", kind.deadlineMs);
@@ -171,7 +171,7 @@
     members.flag("can_resume", kind.canResume);
 }
 
-void fetchEngineReport(Members &members, EngineFigures &engine)
+void readEngine(ObjectReader &members, EngineFigures &engine)
 {
     members.whole("slots", engine.slots, 1);
     members.whole("waiting", engine.waiting);
@@ -193,7 +193,7 @@
     members.number("stage_switch_ms", engine.stageSwitchMs);
 }
 
-void readSurge(Members &members, Surge &surge)
+void readSurge(ObjectReader &members, Surge &surge)
 {
     members.number("from_ms", surge.fromMs);
     members.positive("to_ms", surge.toMs);
@@ -201,7 +201,7 @@
     members.number("factor", surge.factor);
 }
 
-void readLoss(Members &members, EngineLoss &loss)
+void readLoss(ObjectReader &members, EngineLoss &loss)
 {
     members.number("at_ms", loss.atMs);
     members.text("domain", loss.domain);
@@ -211,14 +211,14 @@
     members.number("back_after_ms", loss.backAfterMs);
 }
 
-void readPlan(Members &members, LoadPlan &plan)
+void readPlan(ObjectReader &members, LoadPlan &plan)
 {
     members.text("name", plan.name);
     members.positive("length_ms", plan.lengthMs);
     members.list("domains", plan.domains,
                  [](const json &value, const std::string &path, std::string &domain) {
                      if (!value.is_string())
-                         throw Mistake(path, "must be a text");
+                         throw ValidationError(path, "must be a text");
                      domain = value.get<std::string>();
                  });
     members.whole("instances", plan.instances, 1);
@@ -232,31 +232,31 @@
     members.number("repeat_ratio", plan.repeatRatio);
     members.number("repeat_extra", plan.repeatExtra);
     members.positive("repeat_window_ms", plan.repeatWindowMs);
-    members.object("engine", [&](Members &engine) { fetchEngineReport(engine, plan.engine); });
-    members.list("kinds", plan.kinds, reading<LoadKind>(readKind));
-    members.list("surges", plan.surges, reading<Surge>(readSurge));
-    members.list("losses", plan.losses, reading<EngineLoss>(readLoss));
+    members.object("engine", [&](ObjectReader &engine) { readEngine(engine, plan.engine); });
+    members.list("kinds", plan.kinds, elementReader<LoadKind>(readKind));
+    members.list("surges", plan.surges, elementReader<Surge>(readSurge));
+    members.list("losses", plan.losses, elementReader<EngineLoss>(readLoss));
 }
 
-void checkWhole(const LoadPlan &plan)
+void validatePlan(const LoadPlan &plan)
 {
     if (plan.domains.empty())
-        throw Mistake("domains", "must name at least one");
+        throw ValidationError("domains", "must name at least one");
     if (plan.kinds.empty())
-        throw Mistake("kinds", "must name at least one");
+        throw ValidationError("kinds", "must name at least one");
     std::set<std::string> names;
     for (const LoadKind &kind : plan.kinds) {
         if (kind.name.empty() || !names.insert(kind.name).second)
-            throw Mistake("kinds", "each needs a name of its own");
+            throw ValidationError("kinds", "each needs a name of its own");
     }
     for (const Surge &surge : plan.surges) {
         if (!surge.kind.empty() && names.count(surge.kind) == 0)
-            throw Mistake("surges", "no kind is called '" + surge.kind + "'");
+            throw ValidationError("surges", "no kind is called '" + surge.kind + "'");
     }
     const std::set<std::string> domains(plan.domains.begin(), plan.domains.end());
     for (const EngineLoss &loss : plan.losses) {
         if (!loss.domain.empty() && domains.count(loss.domain) == 0)
-            throw Mistake("losses", "no domain is called '" + loss.domain + "'");
+            throw ValidationError("losses", "no domain is called '" + loss.domain + "'");
     }
 }
 
@@ -266,14 +266,14 @@
 {
     try {
         const json file = json::parse(text);
-        Members members(file, "");
+        ObjectReader members(file, "");
         LoadPlan plan;
         readPlan(members, plan);
-        members.end();
-        checkWhole(plan);
+        members.rejectUnknown();
+        validatePlan(plan);
         return plan;
-    } catch (const Mistake &mistake) {
-        fail(lastReason, mistake.where(), mistake.what());
+    } catch (const ValidationError &invalid) {
+        fail(lastReason, invalid.where(), invalid.what());
     } catch (const json::exception &error) {
         fail(lastReason, "file", error.what());
     }
--- a/modules/emulation/load/LoadFile.h
+++ b/modules/emulation/load/LoadFile.h
@@ -9,9 +9,9 @@
 namespace cuminrail::emulation {
 
 /**
-    Reads a load file: one JSON object with the members of LoadPlan, in milliseconds and tokens.
+    Parses a load file: one JSON object with the members of LoadPlan, in milliseconds and tokens.
 
-    Unknown members, wrong types and figures out of range are refused with their path, as in
+    Unknown members, wrong types and values out of range are rejected with their path, as in
     "kinds[2].goal_ms: must be above 0".
 */
 std::optional<LoadPlan> parseLoadFile(const std::string &text, Reason *lastReason);
--- a/modules/emulation/load/LoadFile_test.cpp
+++ b/modules/emulation/load/LoadFile_test.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-std::string mistakeIn(const std::string &text)
+std::string errorOf(const std::string &text)
 {
     Reason reason;
     return parseLoadFile(text, &reason) ? "" : reason.toString();
 }
 
-std::string contentOfFile(const std::filesystem::path &path)
+std::string readFile(const std::filesystem::path &path)
 {
     std::ifstream file(path);
     std::ostringstream text;
@@ -28,7 +28,7 @@
 
 } // namespace
 
-TEST_CASE("mistakes are named with their place")
+TEST_CASE("validation errors name the path of the member")
 {
     struct Row
     {
@@ -53,13 +53,13 @@
           Row{R"({"domains":["a"],"kinds":[{"name":"k"}],"losses":[{"domain":"z"}]})",
               "no domain is called 'z'"}}) {
         CAPTURE(row.text);
-        const std::string mistake = mistakeIn(row.text);
-        CAPTURE(mistake);
-        CHECK(mistake.find(row.part) != std::string::npos);
+        const std::string error = errorOf(row.text);
+        CAPTURE(error);
+        CHECK(error.find(row.part) != std::string::npos);
     }
 }
 
-TEST_CASE("all example loads are read, and a seed always draws the same requests")
+TEST_CASE("all example loads parse, and a seed always generates the same requests")
 {
     int files = 0;
     for (const auto &entry : std::filesystem::directory_iterator("examples/loads")) {
@@ -69,7 +69,7 @@
         const std::string path = entry.path().string();
         CAPTURE(path);
         Reason reason;
-        const auto plan = parseLoadFile(contentOfFile(entry.path()), &reason);
+        const auto plan = parseLoadFile(readFile(entry.path()), &reason);
         CAPTURE(reason.toString());
         REQUIRE(plan);
         const auto requests = drawArrivals(*plan, 3);
@@ -82,7 +82,7 @@
     CHECK(files >= 4);
 }
 
-TEST_CASE("a surge multiplies the requests of its kind while it lasts")
+TEST_CASE("a surge multiplies the request rate of its kind for its duration")
 {
     Reason reason;
     const auto plan = parseLoadFile(
--- a/modules/emulation/load/LoadPlan.h
+++ b/modules/emulation/load/LoadPlan.h
@@ -9,37 +9,37 @@
 
 namespace cuminrail::emulation {
 
-/** A size that varies: log-normal around its mean, cut off at the most. */
+/** A log-normally distributed size with the given mean, clamped to a maximum. */
 struct SizeSpread
 {
     double mean = 1;
-    /** Standard deviation of the logarithm; 0 for always the mean. */
+    /** Standard deviation of the logarithm; 0 for a constant size. */
     double spread = 0;
     double most = 1e9;
 };
 
-/** Parts of prompts that requests of one kind have in common. */
+/** A pool of prompt parts shared by requests of one kind. */
 struct SharedParts
 {
     int count = 1;
     SizeSpread tokens;
-    /** How uneven their use is: the n-th most used one has weight n to the power of minus this. */
+    /** Zipf exponent: the n-th most used part has weight n to the power of minus this. */
     double skew = 0;
 };
 
-/** Requests of one sort. */
+/** A class of requests with common size distributions and latency goals. */
 struct LoadKind
 {
     std::string name;
     double perSecond = 1;
-    /** Parts from the prompt's start on, from the most to the least common. */
+    /** Shared parts in prompt order, from the most to the least widely shared. */
     std::vector<SharedParts> shared;
     SizeSpread ownTokens;
     SizeSpread events;
     double goalMs = 1000;
     double pauseGoalMs = 1000;
     double deadlineMs = 6000;
-    /** What an answer on time, and a late one, is worth to the caller. */
+    /** Value to the caller of a response on time, and of a late one. */
     double worth = 1;
     double lateWorth = 0;
     int priority = 0;
@@ -47,31 +47,32 @@
     bool canResume = false;
 };
 
-/** More or fewer requests for a while. */
+/** A temporary change of the request rate. */
 struct Surge
 {
     double fromMs = 0;
     double toMs = 0;
-    /** Empty for all kinds. */
+    /** Kind affected; empty for all kinds. */
     std::string kind;
     double factor = 1;
 };
 
-/** What happens to engines. */
+/** A loss of engines at a given time. */
 struct EngineLoss
 {
     double atMs = 0;
-    /** All of this domain's but the first @c kept; empty: any, as many as @c count. */
+    /** Loses all engines of this domain except the first @c kept; if empty, any @c count engines.
+     */
     std::string domain;
     int count = 1;
     int kept = 0;
-    /** Told so long before; 0: they are gone without a word. */
+    /** Advance notice of the loss; 0 for a crash without notice. */
     double noticeMs = 0;
-    /** Others take their place after this long; 0 for never. */
+    /** Delay until replacement engines start; 0 for no replacement. */
     double backAfterMs = 0;
 };
 
-/** A day of load, as a file describes it. */
+/** A load scenario as described by a load file. */
 struct LoadPlan
 {
     std::string name;
@@ -79,14 +80,14 @@
     std::vector<std::string> domains;
     int instances = 6;
     int enginesPerDomain = 6;
-    /** Of all engines at the start; what the stage plan then makes of it is its own. */
+    /** Share of prefill engines at the start; the stage plan may change it later. */
     double prefillShare = 0.66;
-    /** Of the engines that come later. */
+    /** Share of prefill engines among engines added later. */
     double laterPrefillShare = 0.35;
-    /** One way between an instance and an engine, in its own and in another domain. */
+    /** One-way latency between an instance and an engine, within a domain and across domains. */
     double nearMs = 0.5;
     double farMs = 1.0;
-    /** How late instances hear that an engine came, changed or left. */
+    /** Delay until instances learn that an engine was added, changed stage or left. */
     double listLagMs = 900;
     double bodyBytesPerToken = 1;
     double repeatRatio = 0.2;
