--- a/modules/emulation/report/LoadReport.cpp
+++ b/modules/emulation/report/LoadReport.cpp
@@ -10,34 +10,34 @@
 
 namespace {
 
-double worthOf(const LoadKind &kind, LoadEnding ending)
+double valueOf(const LoadKind &kind, LoadEnding ending)
 {
     if (ending == LoadEnding::OnTime)
         return kind.worth;
     return ending == LoadEnding::Late ? kind.lateWorth : 0;
 }
 
-/** Worth asked and earned. */
-struct Earned
+/** Sums of the value of all requests and of the value earned. */
+struct ValueTotals
 {
-    double asked = 0;
-    double got = 0;
+    double possible = 0;
+    double earned = 0;
 
     void add(const LoadKind &kind, LoadEnding ending)
     {
-        asked += kind.worth;
-        got += worthOf(kind, ending);
+        possible += kind.worth;
+        earned += valueOf(kind, ending);
     }
-    double share() const { return asked > 0 ? got / asked : 1; }
+    double share() const { return possible > 0 ? earned / possible : 1; }
 };
 
-double part(std::vector<double> &values, double share)
+double quantile(std::vector<double> &values, double share)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    const auto place = static_cast<std::size_t>(share * double(values.size() - 1));
-    return values[place];
+    const auto rank = static_cast<std::size_t>(share * double(values.size() - 1));
+    return values[rank];
 }
 
 KindFigures figuresOf(const LoadPlan &plan, std::size_t index,
@@ -46,7 +46,7 @@
 {
     KindFigures figures;
     figures.name = plan.kinds[index].name;
-    Earned earned;
+    ValueTotals totals;
     std::vector<double> firsts;
     std::vector<double> pauses;
     for (std::size_t i = 0; i < requests.size(); ++i) {
@@ -54,7 +54,7 @@
             continue;
         const LoadRecord &record = records[i];
         ++figures.asked;
-        earned.add(plan.kinds[index], record.ending);
+        totals.add(plan.kinds[index], record.ending);
         figures.onTime += record.ending == LoadEnding::OnTime ? 1 : 0;
         figures.late += record.ending == LoadEnding::Late ? 1 : 0;
         figures.refused += record.ending == LoadEnding::Refused ? 1 : 0;
@@ -64,17 +64,17 @@
             pauses.push_back(record.longestPauseMs);
         }
     }
-    figures.firstMedianMs = part(firsts, 0.5);
-    figures.firstP90Ms = part(firsts, 0.9);
-    figures.pauseP90Ms = part(pauses, 0.9);
-    figures.earned = earned.share();
+    figures.firstMedianMs = quantile(firsts, 0.5);
+    figures.firstP90Ms = quantile(firsts, 0.9);
+    figures.pauseP90Ms = quantile(pauses, 0.9);
+    figures.earned = totals.share();
     return figures;
 }
 
-double worstWindowsOf(const LoadPlan &plan, const std::vector<LoadRequest> &requests,
-                      const std::vector<LoadRecord> &records)
+double meanOfWorstWindows(const LoadPlan &plan, const std::vector<LoadRequest> &requests,
+                          const std::vector<LoadRecord> &records)
 {
-    std::map<int, Earned> windows;
+    std::map<int, ValueTotals> windows;
     for (std::size_t i = 0; i < requests.size(); ++i)
         windows[static_cast<int>(requests[i].atMs / reportWindowMs)].add(
             plan.kinds[requests[i].kind], records[i].ending);
@@ -95,16 +95,16 @@
 {
     LoadReport report;
     report.engines = engines;
-    Earned all;
+    ValueTotals totals;
     report.worstKind = 1;
     for (std::size_t kind = 0; kind < plan.kinds.size(); ++kind) {
         report.kinds.push_back(figuresOf(plan, kind, requests, records));
         report.worstKind = std::min(report.worstKind, report.kinds.back().earned);
     }
     for (std::size_t i = 0; i < requests.size(); ++i)
-        all.add(plan.kinds[requests[i].kind], records[i].ending);
-    report.earned = all.share();
-    report.worstWindows = worstWindowsOf(plan, requests, records);
+        totals.add(plan.kinds[requests[i].kind], records[i].ending);
+    report.earned = totals.share();
+    report.worstWindows = meanOfWorstWindows(plan, requests, records);
     return report;
 }
 
--- a/modules/emulation/report/LoadReport.h
+++ b/modules/emulation/report/LoadReport.h
@@ -10,18 +10,18 @@
 
 namespace cuminrail::emulation {
 
-/** How a request ended, for its caller. */
+/** Outcome of a request as seen by its caller. */
 enum class LoadEnding : std::uint8_t {
     None,
-    /** Whole, its first event within the goal and no pause above the kind's. */
+    /** Complete, first event within the goal and no pause above the pause goal of its kind. */
     OnTime,
     Late,
-    /** It did not run, and was told so. */
+    /** Rejected without having run. */
     Refused,
     Failed,
 };
 
-/** What became of one request. Times in milliseconds from the start of the day. */
+/** Outcome of one request. Times in milliseconds since the start of the simulation. */
 struct LoadRecord
 {
     LoadEnding ending = LoadEnding::None;
@@ -30,7 +30,7 @@
     double longestPauseMs = 0;
 };
 
-/** The engines' state at one moment. */
+/** State of all engines at one time. */
 struct EngineSample
 {
     double atMs = 0;
@@ -39,12 +39,12 @@
     int changing = 0;
     int running = 0;
     int waiting = 0;
-    /** Of all engines' memory: running requests, and cached parts. */
+    /** Shares of all engines' memory: reserved by running requests, and used by cached parts. */
     double reservedShare = 0;
     double cachedShare = 0;
 };
 
-/** What all engines did. */
+/** Cumulative counts over all engines. */
 struct EngineTotals
 {
     double readTokens = 0;
@@ -54,7 +54,7 @@
     int repeats = 0;
 };
 
-/** The figures of one kind of request. */
+/** Results for one kind of request. */
 struct KindFigures
 {
     std::string name;
@@ -66,22 +66,25 @@
     double firstMedianMs = 0;
     double firstP90Ms = 0;
     double pauseP90Ms = 0;
-    /** Worth earned of worth asked. */
+    /** Value earned divided by the value of all requests. */
     double earned = 0;
 };
 
-/** The figures of a whole day. */
+/** Results of a whole run. */
 struct LoadReport
 {
     std::vector<KindFigures> kinds;
-    /** Worth earned of worth asked: over the day, its two worst windows, its worst kind. */
+    /**
+        Value earned divided by the value of all requests: in total, in the two worst windows (their
+        mean) and for the worst kind.
+    */
     double earned = 0;
     double worstWindows = 0;
     double worstKind = 0;
     EngineTotals engines;
 };
 
-/** How long one of the windows is that the worst are taken from. */
+/** Length of the windows that worstWindows is computed over. */
 inline constexpr double reportWindowMs = 2000;
 
 LoadReport makeLoadReport(const LoadPlan &plan, const std::vector<LoadRequest> &requests,
@@ -89,8 +92,7 @@
 
 nlohmann::json toJson(const LoadReport &report);
 
-/** Returns one line a second, with a head line: what was asked and how it ended, and the engines.
- */
+/** Returns CSV with a header and one row per second: requests by outcome, and engine state. */
 std::string seriesCsv(const LoadPlan &plan, const std::vector<LoadRequest> &requests,
                       const std::vector<LoadRecord> &records,
                       const std::vector<EngineSample> &samples);
--- a/modules/emulation/run/EngineFleet.cpp
+++ b/modules/emulation/run/EngineFleet.cpp
@@ -7,9 +7,9 @@
 
 namespace {
 
-constexpr double stagesEveryMs = 100;
-constexpr double emptyLookEveryMs = 5;
-constexpr double crossDomainTransfer = 2;
+constexpr double stageDecisionIntervalMs = 100;
+constexpr double idleCheckIntervalMs = 5;
+constexpr double crossDomainTransferFactor = 2;
 
 } // namespace
 
@@ -23,10 +23,10 @@
         for (int i = 0; i < plan.enginesPerDomain; ++i)
             add(domain, i < prefill ? EngineStage::Prefill : EngineStage::Decode, true);
     }
-    for (double at = stagesEveryMs; at < plan.lengthMs; at += stagesEveryMs)
+    for (double at = stageDecisionIntervalMs; at < plan.lengthMs; at += stageDecisionIntervalMs)
         queue_.at(at, [this] { decideStages(); });
     for (const EngineLoss &loss : plan.losses)
-        queue_.at(loss.atMs, [this, &loss] { lose(loss); });
+        queue_.at(loss.atMs, [this, &loss] { loseEngines(loss); });
 }
 
 void EngineFleet::add(const std::string &domain, EngineStage stage, bool isAtStart)
@@ -47,11 +47,11 @@
         publish(member);
 }
 
-EngineStage EngineFleet::laterStage()
+EngineStage EngineFleet::nextAddedStage()
 {
     const double share = std::min(plan_.laterPrefillShare, 1.0);
-    const double before = std::floor(share * later_++);
-    return std::floor(share * later_) > before ? EngineStage::Prefill : EngineStage::Decode;
+    const double before = std::floor(share * addedLater_++);
+    return std::floor(share * addedLater_) > before ? EngineStage::Prefill : EngineStage::Decode;
 }
 
 EngineFleet::Member *EngineFleet::find(const std::string &id)
@@ -91,12 +91,12 @@
     return refusal;
 }
 
-double EngineFleet::transferred(Member &from, const Member &target, double tokens)
+double EngineFleet::scheduleTransfer(Member &from, const Member &target, double tokens)
 {
     totals_.movedTokens += tokens;
     double millis = tokens * plan_.engine.cacheBytesPerToken * 8 / (plan_.engine.linkMbps * 1000);
     if (from.domain != target.domain)
-        millis *= crossDomainTransfer;
+        millis *= crossDomainTransferFactor;
     from.linkFreeAt = std::max(queue_.now(), from.linkFreeAt) + millis;
     return from.linkFreeAt + plan_.engine.transferSetupMs;
 }
@@ -115,7 +115,7 @@
     if (missing <= 0)
         return offer(id, job);
     fetching_.insert(job.id);
-    queue_.at(transferred(*from, *target, missing), [this, target, fetching] {
+    queue_.at(scheduleTransfer(*from, *target, missing), [this, target, fetching] {
         if (fetching_.erase(fetching.id) == 0)
             return;
         if (target->isGone || offer(target->id, fetching))
@@ -131,11 +131,11 @@
     Member *from = find(source);
     if (target == nullptr || target->isGone)
         return EngineRefusal::Gone;
-    const bool isThere =
+    const bool isAvailable =
         from != nullptr && !from->isGone && from->engine.takeHandle(job.id, queue_.now());
-    if (!isThere)
+    if (!isAvailable)
         return EngineRefusal::Full;
-    const double arrivesAt = transferred(*from, *target, job.chain.tokens);
+    const double arrivesAt = scheduleTransfer(*from, *target, job.chain.tokens);
     fetching_.insert(job.id);
     queue_.at(arrivesAt, [this, target, job] {
         if (fetching_.erase(job.id) == 0)
@@ -180,11 +180,11 @@
     for (const StageChange &change : stages_.decide(engines, true, now)) {
         Member *member = find(change.id);
         if (!member->isGone && !member->isOrdered)
-            order(*member, change.to);
+            orderStage(*member, change.to);
     }
 }
 
-void EngineFleet::order(Member &member, EngineStage stage)
+void EngineFleet::orderStage(Member &member, EngineStage stage)
 {
     const auto refused = member.engine.orderStage(stage);
     if (!refused)
@@ -193,16 +193,16 @@
     ++totals_.stageChanges;
     for (const std::uint64_t job : *refused)
         hooks_.onLost(job, false);
-    changeWhenEmpty(member);
+    changeStageWhenIdle(member);
 }
 
-void EngineFleet::changeWhenEmpty(Member &member)
+void EngineFleet::changeStageWhenIdle(Member &member)
 {
     if (member.isGone)
         return;
     const auto millis = member.engine.beginChange();
     if (!millis) {
-        queue_.after(emptyLookEveryMs, [this, &member] { changeWhenEmpty(member); });
+        queue_.after(idleCheckIntervalMs, [this, &member] { changeStageWhenIdle(member); });
         return;
     }
     queue_.after(*millis, [this, &member] {
@@ -211,12 +211,12 @@
     });
 }
 
-std::vector<EngineFleet::Member *> EngineFleet::victims(const EngineLoss &loss)
+std::vector<EngineFleet::Member *> EngineFleet::enginesToLose(const EngineLoss &loss)
 {
     std::vector<Member *> found;
     for (const auto &member : members_) {
-        const bool isMeant = loss.domain.empty() || member->domain == loss.domain;
-        if (isMeant && !member->isGone && !member->isLeaving)
+        const bool isInDomain = loss.domain.empty() || member->domain == loss.domain;
+        if (isInDomain && !member->isGone && !member->isLeaving)
             found.push_back(member.get());
     }
     if (!loss.domain.empty()) {
@@ -227,23 +227,23 @@
     return found;
 }
 
-void EngineFleet::lose(const EngineLoss &loss)
+void EngineFleet::loseEngines(const EngineLoss &loss)
 {
-    for (Member *member : victims(loss)) {
+    for (Member *member : enginesToLose(loss)) {
         member->isLeaving = true;
         publish(*member);
-        queue_.after(loss.noticeMs, [this, member] { end(*member); });
+        queue_.after(loss.noticeMs, [this, member] { terminateEngine(*member); });
         if (loss.backAfterMs > 0)
             queue_.after(loss.backAfterMs,
-                         [this, domain = member->domain] { add(domain, laterStage(), false); });
+                         [this, domain = member->domain] { add(domain, nextAddedStage(), false); });
     }
 }
 
-void EngineFleet::end(Member &member)
+void EngineFleet::terminateEngine(Member &member)
 {
     member.isGone = true;
-    gone_.readTokens += member.engine.work().read;
-    gone_.keptTokens += member.engine.work().kept;
+    lostEngineTotals_.readTokens += member.engine.work().read;
+    lostEngineTotals_.keptTokens += member.engine.work().kept;
     for (const std::uint64_t job : member.engine.crash())
         hooks_.onLost(job, true);
     publish(member);
@@ -270,17 +270,17 @@
         reserved += engine.memory().reserved();
         cached += engine.memory().cached();
     }
-    const double all = std::max(1.0, alive * plan_.engine.memoryTokens);
-    sample.reservedShare = reserved / all;
-    sample.cachedShare = cached / all;
+    const double capacity = std::max(1.0, alive * plan_.engine.memoryTokens);
+    sample.reservedShare = reserved / capacity;
+    sample.cachedShare = cached / capacity;
     return sample;
 }
 
 EngineTotals EngineFleet::totals() const
 {
     EngineTotals totals = totals_;
-    totals.readTokens += gone_.readTokens;
-    totals.keptTokens += gone_.keptTokens;
+    totals.readTokens += lostEngineTotals_.readTokens;
+    totals.keptTokens += lostEngineTotals_.keptTokens;
     for (const auto &member : members_) {
         if (member->isGone)
             continue;
--- a/modules/emulation/run/EngineFleet.h
+++ b/modules/emulation/run/EngineFleet.h
@@ -15,14 +15,14 @@
 
 namespace cuminrail::emulation {
 
-/** The engines of a day: their steps, transfers, stage changes and losses. */
+/** All engines of a simulation: their steps, cache transfers, stage changes and losses. */
 class EngineFleet
 {
 public:
     struct Hooks
     {
         std::function<void(const EngineOutput &)> onOutput;
-        /** A job's engine refused it after it had taken it, or broke with it. */
+        /** An engine rejected a job after accepting it, or failed while holding it. */
         std::function<void(std::uint64_t job, bool mayHaveRun)> onLost;
     };
 
@@ -30,21 +30,22 @@
     EngineFleet(const EngineFleet &) = delete;
     EngineFleet &operator=(const EngineFleet &) = delete;
 
-    /** What instances know: late, and without those that said that they leave. */
+    /** Engines as known to instances: delayed, and without those that announced leaving. */
     const std::vector<UpstreamPointer> &known() const { return known_; }
-    /** False while an engine that is known is gone already. */
+    /** Returns false for an engine that is gone, even if it is still listed in known(). */
     bool isAlive(const std::string &id) const;
-    /** A job reaches its engine. */
+    /** Delivers a job to its engine. */
     std::optional<EngineRefusal> offer(const std::string &id, const EngineJob &job);
     /**
-        A job reaches its engine with a cache to fetch from another one; what follows comes by
-        onOutput or, when the cache is gone, by onLost.
+        Delivers a job whose cache is fetched from another engine. Returns Full if the cache is
+        gone; otherwise the outcome is reported by onOutput or, if the target is gone or rejects the
+        job after the transfer, by onLost.
     */
     std::optional<EngineRefusal> offerFetched(const std::string &id, const EngineJob &job,
                                               const std::string &source);
     /**
-        The same for a prompt whose first parts are fetched from an engine that holds them, over
-       that engine's link.
+        Delivers a job whose prompt prefix is fetched from an engine that caches it, over that
+        engine's link.
     */
     std::optional<EngineRefusal> offerWithPrefix(const std::string &id, const EngineJob &job,
                                                  const std::string &source);
@@ -62,24 +63,24 @@
         UpstreamPointer record;
         bool isLeaving = false;
         bool isGone = false;
-        /** An order to it is under way, or not seen in the list yet. */
+        /** A stage change is in progress, or not yet visible to instances. */
         bool isOrdered = false;
         double linkFreeAt = 0;
     };
 
     void add(const std::string &domain, EngineStage stage, bool isAtStart);
-    EngineStage laterStage();
+    EngineStage nextAddedStage();
     Member *find(const std::string &id);
-    /** Takes the sender's link for so many cached tokens. Returns when they have arrived. */
-    double transferred(Member &from, const Member &target, double tokens);
+    /** Occupies the sender's link for a transfer. Returns the time of arrival. */
+    double scheduleTransfer(Member &from, const Member &target, double tokens);
     void publish(Member &member);
     void step(Member &member);
     void decideStages();
-    void order(Member &member, EngineStage stage);
-    void changeWhenEmpty(Member &member);
-    void lose(const EngineLoss &loss);
-    void end(Member &member);
-    std::vector<Member *> victims(const EngineLoss &loss);
+    void orderStage(Member &member, EngineStage stage);
+    void changeStageWhenIdle(Member &member);
+    void loseEngines(const EngineLoss &loss);
+    void terminateEngine(Member &member);
+    std::vector<Member *> enginesToLose(const EngineLoss &loss);
 
     const LoadPlan &plan_;
     EventQueue &queue_;
@@ -88,11 +89,11 @@
     std::vector<std::unique_ptr<Member>> members_;
     std::map<std::string, Member *> byId_;
     std::vector<UpstreamPointer> known_;
-    /** Transfers under way whose job was cancelled meanwhile. */
+    /** Jobs with a transfer in progress; a job that is cancelled is removed. */
     std::unordered_set<std::uint64_t> fetching_;
-    int later_ = 0;
+    int addedLater_ = 0;
     EngineTotals totals_;
-    EngineTotals gone_;
+    EngineTotals lostEngineTotals_;
 };
 
 } // namespace cuminrail::emulation
--- a/modules/emulation/run/LoadRun.cpp
+++ b/modules/emulation/run/LoadRun.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-/** As the gateway's request relay has them. */
-constexpr double answerTravelMs = 30;
-constexpr double leastUsefulMs = 20;
-constexpr int mostRefusals = 2;
-constexpr int usualUrgency = 3;
-constexpr double sampleEveryMs = 1000;
-constexpr double heldEveryMs = 25;
+/** Same values as in the gateway's request relay. */
+constexpr double responseTravelMs = 30;
+constexpr double minUsefulMs = 20;
+constexpr int maxRefusals = 2;
+constexpr int defaultUrgency = 3;
+constexpr double sampleIntervalMs = 1000;
+constexpr double deferredIntervalMs = 25;
 constexpr const char *service = "engines";
 
-/** How long a caller waits for a first event. */
-double patienceMs(const LoadKind &kind)
+/** Returns the caller's timeout for the first event. */
+double callerTimeoutMs(const LoadKind &kind)
 {
     const Millis goal(static_cast<std::int64_t>(kind.goalMs));
     const Millis gapGoal(static_cast<std::int64_t>(kind.pauseGoalMs));
@@ -32,9 +32,10 @@
     : plan_(plan), requests_(requests),
       fleet_(plan, queue_, choices.decisions.stages,
              {[this](const EngineOutput &output) { onOutput(output); },
-              [this](std::uint64_t job, bool mayHaveRun) { lost(job, mayHaveRun); }}),
-      flights_(requests.size()), records_(requests.size()), deferral_(choices.decisions.deferral),
-      decisions_(choices.decisions), stopwatch_(choices.stopwatch)
+              [this](std::uint64_t job, bool mayHaveRun) { onLost(job, mayHaveRun); }}),
+      requestStates_(requests.size()), records_(requests.size()),
+      deferral_(choices.decisions.deferral), decisions_(choices.decisions),
+      stopwatch_(choices.stopwatch)
 {
     RetryBounds bounds;
     bounds.ratio = plan.repeatRatio;
@@ -50,12 +51,12 @@
     }
     for (std::size_t i = 0; i < requests.size(); ++i)
         queue_.at(requests[i].atMs, [this, i] { arrive(i); });
-    for (double at = 0; at < plan.lengthMs + 8000; at += heldEveryMs)
+    for (double at = 0; at < plan.lengthMs + 8000; at += deferredIntervalMs)
         queue_.at(at, [this] {
             for (Instance &instance : instances_)
-                sendHeld(instance);
+                dispatchDeferred(instance);
         });
-    for (double at = 0; at < plan.lengthMs; at += sampleEveryMs)
+    for (double at = 0; at < plan.lengthMs; at += sampleIntervalMs)
         queue_.at(at, [this] { samples_.push_back(fleet_.sample()); });
 }
 
@@ -70,25 +71,25 @@
 LoadReport LoadRun::report() const
 {
     EngineTotals totals = fleet_.totals();
-    totals.repeats = repeats_;
+    totals.repeats = retries_;
     return makeLoadReport(plan_, requests_, records_, totals);
 }
 
 void LoadRun::arrive(std::size_t index)
 {
     const LoadKind &kind = kindOf(index);
-    flights_[index].endsAt = queue_.now() + kind.deadlineMs - answerTravelMs;
-    // Nothing came in all that time: the caller leaves, and its work at engines is ended.
-    queue_.at(queue_.now() + patienceMs(kind), [this, index] {
-        if (flights_[index].isOver || flights_[index].eventsGot > 0)
+    requestStates_[index].endsAt = queue_.now() + kind.deadlineMs - responseTravelMs;
+    // The caller times out without any event; its work at engines is cancelled.
+    queue_.at(queue_.now() + callerTimeoutMs(kind), [this, index] {
+        if (requestStates_[index].isOver || requestStates_[index].receivedEvents > 0)
             return;
-        settle(index);
+        endAttempt(index);
         end(index, LoadEnding::Failed);
     });
-    queue_.at(flights_[index].endsAt, [this, index] {
-        if (flights_[index].isOver)
+    queue_.at(requestStates_[index].endsAt, [this, index] {
+        if (requestStates_[index].isOver)
             return;
-        settle(index);
+        endAttempt(index);
         giveUp(index);
     });
     dispatch(index);
@@ -103,12 +104,13 @@
     query.bodyBytes =
         static_cast<std::size_t>(request.prompt.inputTokens * plan_.bodyBytesPerToken);
     query.ownDomain = instance.domain;
-    query.tried = &flights_[index].tried;
+    query.tried = &requestStates_[index].tried;
     query.now = now();
-    query.allowsHandOver = flights_[index].allowsHandOver;
-    query.offer = [&offers = flights_[index].offers](const std::string &id) {
-        const auto found = offers.find(id);
-        return found == offers.end() ? std::nullopt : std::optional<PrefillEstimate>(found->second);
+    query.allowsHandOver = requestStates_[index].allowsHandOver;
+    query.offer = [&estimates = requestStates_[index].estimates](const std::string &id) {
+        const auto found = estimates.find(id);
+        return found == estimates.end() ? std::nullopt
+                                        : std::optional<PrefillEstimate>(found->second);
     };
     query.badShare = [&instance](const std::string &id) { return instance.health.badShare(id); };
     query.isEjected = [&instance, at = now()](const std::string &id) {
@@ -117,145 +119,145 @@
     return query;
 }
 
-bool LoadRun::mayRepeat(std::size_t index)
+bool LoadRun::tryAcquireRetry(std::size_t index)
 {
-    if (flights_[index].sends >= kindOf(index).maxAttempts
+    if (requestStates_[index].sends >= kindOf(index).maxAttempts
         || !instanceOf(index).retries->tryAcquireRetry(service, now()))
         return false;
-    ++repeats_;
+    ++retries_;
     return true;
 }
 
 void LoadRun::dispatch(std::size_t index)
 {
-    Flight &flight = flights_[index];
-    if (flight.isOver)
+    RequestState &state = requestStates_[index];
+    if (state.isOver)
         return;
-    flight.isPromptRead = false;
-    const bool isRepeat = flight.sends + flight.refusals > 0;
-    if (flight.endsAt - queue_.now() < leastUsefulMs || flight.refusals > mostRefusals
-        || (isRepeat && !mayRepeat(index)))
+    state.isPromptRead = false;
+    const bool isRetry = state.sends + state.refusals > 0;
+    if (state.endsAt - queue_.now() < minUsefulMs || state.refusals > maxRefusals
+        || (isRetry && !tryAcquireRetry(index)))
         return giveUp(index);
     Instance &instance = instanceOf(index);
     const double began = stopwatch_ ? stopwatch_() : 0;
-    flight.choice = instance.placement->choose(fleet_.known(), queryFor(index));
+    state.choice = instance.placement->choose(fleet_.known(), queryFor(index));
     if (stopwatch_)
         decisionMicros_.push_back(stopwatch_() - began);
     const bool isKnownBusy =
-        flight.wasAsked && flight.choice && decide(index) != PromptDecision::Send;
-    if (flight.choice && flight.choice->prefill && !isKnownBusy)
-        askBooks(index);
-    if (!flight.choice)
+        state.wasQueried && state.choice && decide(index) != PromptDecision::Send;
+    if (state.choice && state.choice->prefill && !isKnownBusy)
+        queryTrackers(index);
+    if (!state.choice)
         return giveUp(index);
-    if (isRepeat)
-        return place(index);
+    if (isRetry)
+        return dispatchToEngine(index);
     const PromptDecision decision = decide(index);
     if (decision == PromptDecision::Send)
-        return place(index);
-    flight.choice.reset();
+        return dispatchToEngine(index);
+    state.choice.reset();
     if (decision == PromptDecision::Refuse)
         return giveUp(index);
-    instance.held.push_back(index);
-    if (!flight.isHeld) {
-        flight.isHeld = true;
-        flight.heldAt = now();
-        instance.heldPrompts.add(kindOf(index).name, flight.heldAt);
+    instance.deferred.push_back(index);
+    if (!state.isDeferred) {
+        state.isDeferred = true;
+        state.deferredAt = now();
+        instance.deferredPrompts.add(kindOf(index).name, state.deferredAt);
     }
 }
 
-void LoadRun::askBooks(std::size_t index)
+void LoadRun::queryTrackers(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     EnginePlacement *own = instanceOf(index).placement->own();
-    const std::size_t asked = decisions_.booksAskedFor(flight.choice->freshTokens);
-    if (own == nullptr || asked == 0)
+    const std::size_t maxQueries = decisions_.booksAskedFor(state.choice->freshTokens);
+    if (own == nullptr || maxQueries == 0)
         return;
-    flight.wasAsked = true;
+    state.wasQueried = true;
     const PromptChain chain = PromptChain::of(requests_[index].prompt);
     const PlacementQuery query = queryFor(index);
-    for (const auto &reader : own->rankPrefillEngines(fleet_.known(), query, asked)) {
-        const std::string &id = reader->entry.id;
-        flight.offers[id] = books_[id].estimate(chain, now());
-        own->setReportedWait(id, flight.offers[id].waitMillis, now());
+    for (const auto &prefillEngine : own->rankPrefillEngines(fleet_.known(), query, maxQueries)) {
+        const std::string &id = prefillEngine->entry.id;
+        state.estimates[id] = prefillTrackers_[id].estimate(chain, now());
+        own->setReportedWait(id, state.estimates[id].waitMillis, now());
     }
-    flight.choice = own->choose(fleet_.known(), query);
-    flight.offers.clear();
+    state.choice = own->choose(fleet_.known(), query);
+    state.estimates.clear();
 }
 
-void LoadRun::enterBook(std::size_t index)
+void LoadRun::trackPrefill(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     EnginePlacement *own = instanceOf(index).placement->own();
-    if (own == nullptr || !flight.choice->prefill
-        || !decisions_.isEntered(flight.choice->freshTokens))
+    if (own == nullptr || !state.choice->prefill
+        || !decisions_.isEntered(state.choice->freshTokens))
         return;
-    flight.book = flight.choice->prefill->entry.id;
-    flight.ticket.number = flight.job;
+    state.trackedEngine = state.choice->prefill->entry.id;
+    state.prefillId.number = state.job;
     const PrefillRateEstimator &rate = own->prefillRate();
-    books_[flight.book].add(flight.ticket, PromptChain::of(requests_[index].prompt),
-                            flight.choice->freshTokens, {rate.tokensPerMilli(), rate.fixedMillis()},
-                            now());
+    prefillTrackers_[state.trackedEngine].add(
+        state.prefillId, PromptChain::of(requests_[index].prompt), state.choice->freshTokens,
+        {rate.tokensPerMilli(), rate.fixedMillis()}, now());
 }
 
-void LoadRun::takeBack(std::size_t index)
+void LoadRun::cancelTrackedPrefill(std::size_t index)
 {
-    Flight &flight = flights_[index];
-    if (!flight.book.empty())
-        books_[flight.book].cancel(flight.ticket, now());
-    flight.book.clear();
+    RequestState &state = requestStates_[index];
+    if (!state.trackedEngine.empty())
+        prefillTrackers_[state.trackedEngine].cancel(state.prefillId, now());
+    state.trackedEngine.clear();
 }
 
 PromptDecision LoadRun::decide(std::size_t index) const
 {
     const LoadKind &kind = kindOf(index);
-    const EngineChoice &choice = *flights_[index].choice;
+    const EngineChoice &choice = *requestStates_[index].choice;
     const auto millis = [](double value) { return Millis(static_cast<std::int64_t>(value)); };
     PromptOutlook outlook;
     outlook.waitMillis = choice.waitMillis;
     outlook.firstEventMillis = choice.firstEventMillis;
     outlook.elapsed = millis(queue_.now() - requests_[index].atMs);
     outlook.goal = millis(kind.goalMs);
-    outlook.callerTimeout = millis(patienceMs(kind));
-    if (!flights_[index].isHeld)
+    outlook.callerTimeout = millis(callerTimeoutMs(kind));
+    if (!requestStates_[index].isDeferred)
         outlook.queueAge =
-            instances_[requests_[index].instance].heldPrompts.oldestAge(kind.name, now());
+            instances_[requests_[index].instance].deferredPrompts.oldestAge(kind.name, now());
     return deferral_.decide(outlook);
 }
 
-void LoadRun::releaseHeld(std::size_t index)
+void LoadRun::clearDeferred(std::size_t index)
 {
-    Flight &flight = flights_[index];
-    if (flight.isHeld)
-        instanceOf(index).heldPrompts.remove(kindOf(index).name, flight.heldAt);
-    flight.isHeld = false;
+    RequestState &state = requestStates_[index];
+    if (state.isDeferred)
+        instanceOf(index).deferredPrompts.remove(kindOf(index).name, state.deferredAt);
+    state.isDeferred = false;
 }
 
-void LoadRun::sendHeld(Instance &instance)
+void LoadRun::dispatchDeferred(Instance &instance)
 {
-    const std::vector<std::size_t> held = std::move(instance.held);
-    instance.held.clear();
-    for (const std::size_t index : held) {
-        if (!flights_[index].isOver)
+    const std::vector<std::size_t> deferred = std::move(instance.deferred);
+    instance.deferred.clear();
+    for (const std::size_t index : deferred) {
+        if (!requestStates_[index].isOver)
             dispatch(index);
     }
 }
 
-void LoadRun::place(std::size_t index)
+void LoadRun::dispatchToEngine(std::size_t index)
 {
-    releaseHeld(index);
-    Flight &flight = flights_[index];
+    clearDeferred(index);
+    RequestState &state = requestStates_[index];
     Instance &instance = instanceOf(index);
-    instance.placement->dispatched(*flight.choice, requests_[index].prompt, now());
-    flight.sentAt = now();
-    const bool isPrefill = flight.choice->prefill != nullptr;
+    instance.placement->dispatched(*state.choice, requests_[index].prompt, now());
+    state.sentAt = now();
+    const bool isPrefill = state.choice->prefill != nullptr;
     if (!isPrefill)
         instance.retries->recordFirstAttempt(service, now());
-    send(index, readerOf(flight), isPrefill);
+    send(index, firstEngineOf(state), isPrefill);
 }
 
-std::string LoadRun::readerOf(const Flight &flight) const
+std::string LoadRun::firstEngineOf(const RequestState &state) const
 {
-    return (flight.choice->prefill ? flight.choice->prefill : flight.choice->engine)->entry.id;
+    return (state.choice->prefill ? state.choice->prefill : state.choice->engine)->entry.id;
 }
 
 double LoadRun::travel(std::size_t index, const std::string &engineDomain) const
@@ -266,56 +268,56 @@
 
 void LoadRun::send(std::size_t index, const std::string &engine, bool isPrefill)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     const LoadKind &kind = kindOf(index);
-    flight.job = nextJob_++;
-    flight.isReading = isPrefill;
-    enterBook(index);
-    byJob_[flight.job] = index;
+    state.job = nextJob_++;
+    state.isPrefilling = isPrefill;
+    trackPrefill(index);
+    byJob_[state.job] = index;
     EngineJob job;
-    job.id = flight.job;
+    job.id = state.job;
     job.chain = PromptChain::of(requests_[index].prompt);
     job.isPrefillOnly = isPrefill;
-    job.events = isPrefill ? 1 : std::max(1, requests_[index].events - flight.eventsGot);
-    job.urgency = std::clamp(usualUrgency + kind.priority, 0, 9);
-    const double reached = queue_.now() - requests_[index].atMs + flight.choice->firstEventMillis;
+    job.events = isPrefill ? 1 : std::max(1, requests_[index].events - state.receivedEvents);
+    job.urgency = std::clamp(defaultUrgency + kind.priority, 0, 9);
+    const double reached = queue_.now() - requests_[index].atMs + state.choice->firstEventMillis;
     if (isPrefill && reached > kind.goalMs)
         job.urgency = static_cast<int>(decisions_.lateUrgency);
-    const auto &record = isPrefill ? flight.choice->prefill : flight.choice->engine;
-    const auto &holder = flight.choice->prefixFrom;
-    const std::string source = isPrefill && holder ? holder->entry.id : std::string();
+    const auto &record = isPrefill ? state.choice->prefill : state.choice->engine;
+    const auto &prefixSource = state.choice->prefixFrom;
+    const std::string source = isPrefill && prefixSource ? prefixSource->entry.id : std::string();
     queue_.after(travel(index, record->entry.failureDomain), [this, index, engine, job, source] {
-        if (flights_[index].job != job.id || flights_[index].isOver)
+        if (requestStates_[index].job != job.id || requestStates_[index].isOver)
             return;
         const auto refusal = source.empty() ? fleet_.offer(engine, job)
                                             : fleet_.offerWithPrefix(engine, job, source);
         if (refusal)
-            refused(index, *refusal);
+            onRefused(index, *refusal);
     });
 }
 
 void LoadRun::sendFetched(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     Instance &instance = instanceOf(index);
     instance.retries->recordFirstAttempt(service, now());
-    instance.placement->handedOver(*flight.choice, requests_[index].prompt, now());
-    flight.isReading = false;
+    instance.placement->handedOver(*state.choice, requests_[index].prompt, now());
+    state.isPrefilling = false;
     EngineJob job;
-    job.id = flight.job;
+    job.id = state.job;
     job.chain = PromptChain::of(requests_[index].prompt);
     job.isFetched = true;
-    job.events = std::max(1, requests_[index].events - flight.eventsGot);
-    job.urgency = std::clamp(usualUrgency + kindOf(index).priority, 0, 9);
-    const UpstreamEntry &runner = flight.choice->engine->entry;
-    queue_.after(travel(index, runner.failureDomain), [this, index, job] {
-        const Flight &current = flights_[index];
+    job.events = std::max(1, requests_[index].events - state.receivedEvents);
+    job.urgency = std::clamp(defaultUrgency + kindOf(index).priority, 0, 9);
+    const UpstreamEntry &decodeEngine = state.choice->engine->entry;
+    queue_.after(travel(index, decodeEngine.failureDomain), [this, index, job] {
+        const RequestState &current = requestStates_[index];
         if (current.job != job.id || current.isOver)
             return;
         const auto refusal = fleet_.offerFetched(current.choice->engine->entry.id, job,
                                                  current.choice->prefill->entry.id);
         if (refusal)
-            refused(index, *refusal);
+            onRefused(index, *refusal);
     });
 }
 
@@ -325,139 +327,139 @@
     if (found == byJob_.end())
         return;
     const std::size_t index = found->second;
-    const Flight &flight = flights_[index];
-    if (flight.isOver || flight.job != output.job)
+    const RequestState &state = requestStates_[index];
+    if (state.isOver || state.job != output.job)
         return;
-    const auto &record = flight.isReading ? flight.choice->prefill : flight.choice->engine;
+    const auto &record = state.isPrefilling ? state.choice->prefill : state.choice->engine;
     const double delay = travel(index, record->entry.failureDomain);
-    const auto what = output.sign == EngineSign::PromptRead ? &LoadRun::promptReadApart
-        : output.sign == EngineSign::Event                  ? &LoadRun::gotEvent
-                                                            : &LoadRun::finished;
-    reachCaller(index, delay, what);
+    const auto what = output.sign == EngineSign::PromptRead ? &LoadRun::onPrefillDone
+        : output.sign == EngineSign::Event                  ? &LoadRun::onEvent
+                                                            : &LoadRun::onDone;
+    notifyInstance(index, delay, what);
 }
 
-void LoadRun::reachCaller(std::size_t index, double delay, void (LoadRun::*what)(std::size_t))
+void LoadRun::notifyInstance(std::size_t index, double delay, void (LoadRun::*what)(std::size_t))
 {
-    queue_.after(delay, [this, index, what, job = flights_[index].job] {
-        if (flights_[index].job == job && !flights_[index].isOver)
+    queue_.after(delay, [this, index, what, job = requestStates_[index].job] {
+        if (requestStates_[index].job == job && !requestStates_[index].isOver)
             (this->*what)(index);
     });
 }
 
-void LoadRun::promptReadApart(std::size_t index)
+void LoadRun::onPrefillDone(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     Instance &instance = instanceOf(index);
-    instance.placement->promptRead(*flight.choice, flight.sentAt, now());
-    if (!flight.book.empty())
-        books_[flight.book].complete(flight.ticket, now());
-    flight.book.clear();
-    instance.health.record(flight.choice->prefill->entry.id, AttemptSign::Good, now());
-    flight.isPromptRead = true;
+    instance.placement->promptRead(*state.choice, state.sentAt, now());
+    if (!state.trackedEngine.empty())
+        prefillTrackers_[state.trackedEngine].complete(state.prefillId, now());
+    state.trackedEngine.clear();
+    instance.health.record(state.choice->prefill->entry.id, AttemptSign::Good, now());
+    state.isPromptRead = true;
     sendFetched(index);
 }
 
-void LoadRun::gotEvent(std::size_t index)
+void LoadRun::onEvent(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     LoadRecord &record = records_[index];
     Instance &instance = instanceOf(index);
-    if (!flight.isPromptRead) {
-        flight.isPromptRead = true;
-        instance.placement->promptRead(*flight.choice, flight.sentAt, now());
+    if (!state.isPromptRead) {
+        state.isPromptRead = true;
+        instance.placement->promptRead(*state.choice, state.sentAt, now());
     }
-    instance.placement->runBegan(*flight.choice, now());
-    if (flight.eventsGot++ == 0) {
+    instance.placement->runBegan(*state.choice, now());
+    if (state.receivedEvents++ == 0) {
         record.firstAt = queue_.now();
     } else {
-        const double pause = queue_.now() - flight.lastEventAt;
+        const double pause = queue_.now() - state.lastEventAt;
         record.longestPauseMs = std::max(record.longestPauseMs, pause);
     }
-    flight.lastEventAt = queue_.now();
+    state.lastEventAt = queue_.now();
 }
 
-void LoadRun::finished(std::size_t index)
+void LoadRun::onDone(std::size_t index)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     const LoadKind &kind = kindOf(index);
-    instanceOf(index).health.record(flight.choice->engine->entry.id, AttemptSign::Good, now());
-    settle(index);
+    instanceOf(index).health.record(state.choice->engine->entry.id, AttemptSign::Good, now());
+    endAttempt(index);
     const bool isOnTime = records_[index].firstAt - requests_[index].atMs <= kind.goalMs
         && records_[index].longestPauseMs <= kind.pauseGoalMs;
     end(index, isOnTime ? LoadEnding::OnTime : LoadEnding::Late);
 }
 
-void LoadRun::refused(std::size_t index, EngineRefusal why)
+void LoadRun::onRefused(std::size_t index, EngineRefusal why)
 {
-    Flight &flight = flights_[index];
+    RequestState &state = requestStates_[index];
     Instance &instance = instanceOf(index);
     const std::string engine =
-        flight.isReading ? flight.choice->prefill->entry.id : flight.choice->engine->entry.id;
+        state.isPrefilling ? state.choice->prefill->entry.id : state.choice->engine->entry.id;
     const bool isGone = why == EngineRefusal::Gone;
     instance.health.record(engine, isGone ? AttemptSign::Broken : AttemptSign::Full, now());
     if (!isGone)
         instance.placement->refused(engine, now());
-    settle(index);
-    flight.allowsHandOver = false;
-    if (flight.isReading) {
-        // Nothing ran; another engine reads, which is a send more.
+    endAttempt(index);
+    state.allowsHandOver = false;
+    if (state.isPrefilling) {
+        // The decode engine has run nothing; the prefill is sent to another engine as a retry.
         if (!instance.retries->tryAcquireRetry(service, now()))
             return giveUp(index);
-        ++repeats_;
+        ++retries_;
     } else {
-        ++flight.refusals;
-        flight.tried.insert(engine);
+        ++state.refusals;
+        state.tried.insert(engine);
     }
     dispatch(index);
 }
 
-void LoadRun::lost(std::uint64_t job, bool mayHaveRun)
+void LoadRun::onLost(std::uint64_t job, bool mayHaveRun)
 {
     const auto found = byJob_.find(job);
-    if (found == byJob_.end() || flights_[found->second].job != job
-        || flights_[found->second].isOver)
+    if (found == byJob_.end() || requestStates_[found->second].job != job
+        || requestStates_[found->second].isOver)
         return;
     const std::size_t index = found->second;
-    Flight &flight = flights_[index];
-    if (!mayHaveRun || flight.isReading)
-        return refused(index, mayHaveRun ? EngineRefusal::Gone : EngineRefusal::Changing);
-    const std::string &engine = flight.choice->engine->entry.id;
+    RequestState &state = requestStates_[index];
+    if (!mayHaveRun || state.isPrefilling)
+        return onRefused(index, mayHaveRun ? EngineRefusal::Gone : EngineRefusal::Changing);
+    const std::string &engine = state.choice->engine->entry.id;
     instanceOf(index).health.record(engine, AttemptSign::Broken, now());
-    flight.tried.insert(engine);
-    settle(index);
-    ++flight.sends;
-    flight.mayHaveRun = true;
+    state.tried.insert(engine);
+    endAttempt(index);
+    ++state.sends;
+    state.mayHaveRun = true;
     if (!kindOf(index).canResume)
         return giveUp(index);
     dispatch(index);
 }
 
-void LoadRun::settle(std::size_t index)
+void LoadRun::endAttempt(std::size_t index)
 {
-    Flight &flight = flights_[index];
-    takeBack(index);
-    if (!flight.choice)
+    RequestState &state = requestStates_[index];
+    cancelTrackedPrefill(index);
+    if (!state.choice)
         return;
-    fleet_.cancel(flight.choice->engine->entry.id, flight.job);
-    if (flight.choice->prefill)
-        fleet_.cancel(flight.choice->prefill->entry.id, flight.job);
-    instanceOf(index).placement->finished(*flight.choice, flight.isPromptRead, now());
-    byJob_.erase(flight.job);
-    flight.job = 0;
+    fleet_.cancel(state.choice->engine->entry.id, state.job);
+    if (state.choice->prefill)
+        fleet_.cancel(state.choice->prefill->entry.id, state.job);
+    instanceOf(index).placement->finished(*state.choice, state.isPromptRead, now());
+    byJob_.erase(state.job);
+    state.job = 0;
 }
 
 void LoadRun::giveUp(std::size_t index)
 {
-    const Flight &flight = flights_[index];
+    const RequestState &state = requestStates_[index];
     end(index,
-        flight.mayHaveRun || flight.eventsGot > 0 ? LoadEnding::Failed : LoadEnding::Refused);
+        state.mayHaveRun || state.receivedEvents > 0 ? LoadEnding::Failed : LoadEnding::Refused);
 }
 
 void LoadRun::end(std::size_t index, LoadEnding ending)
 {
-    releaseHeld(index);
-    flights_[index].isOver = true;
-    flights_[index].choice.reset();
+    clearDeferred(index);
+    requestStates_[index].isOver = true;
+    requestStates_[index].choice.reset();
     records_[index].ending = ending;
     records_[index].endedAt = queue_.now();
 }
--- a/modules/emulation/run/LoadRun.h
+++ b/modules/emulation/run/LoadRun.h
@@ -13,20 +13,21 @@
 
 namespace cuminrail::emulation {
 
-/** With which decisions a day is played. */
+/** Options of a simulated run. */
 struct LoadChoices
 {
     PlacementKind placement = PlacementKind::Cuminrail;
     DecisionSettings decisions;
-    /** A real clock in microseconds, to measure decisions with; none are measured without. */
+    /** Real clock in microseconds for timing placement decisions; empty to disable timing. */
     std::function<double()> stopwatch;
 };
 
 /**
-    Plays one day: requests arrive at instances, which place them on engines as a gateway does.
+    Simulates one load scenario: requests arrive at instances, which place them on engines as the
+    gateway does.
 
-    What is left out: callers do not come back after a refusal, connections cost nothing, and plain
-    services do not exist. An engine that goes silent without closing its connections is not played.
+    Not modelled: callers that retry after a refusal, the cost of connections, plain services, and
+    engines that stop responding without closing their connections.
 */
 class LoadRun
 {
@@ -36,13 +37,13 @@
     LoadRun(const LoadRun &) = delete;
     LoadRun &operator=(const LoadRun &) = delete;
 
-    /** Plays the whole day. Call once. */
+    /** Runs the whole simulation. Call once. */
     void play();
 
     const std::vector<LoadRecord> &records() const { return records_; }
     const std::vector<EngineSample> &samples() const { return samples_; }
     LoadReport report() const;
-    /** How long each choice of an engine took, in microseconds. */
+    /** Duration of each engine selection in microseconds. */
     const std::vector<double> &decisionMicros() const { return decisionMicros_; }
 
 private:
@@ -52,13 +53,13 @@
         std::unique_ptr<Placement> placement;
         UpstreamHealth health;
         std::unique_ptr<RetryAllowance> retries;
-        /** Prompts that wait here until engines have room, in the order of their arrival. */
-        std::vector<std::size_t> held;
-        DeferredPrompts heldPrompts;
+        /** Requests deferred until engines have capacity, in order of arrival. */
+        std::vector<std::size_t> deferred;
+        DeferredPrompts deferredPrompts;
     };
 
-    /** A request on its way. */
-    struct Flight
+    /** Progress of one request. */
+    struct RequestState
     {
         std::uint64_t job = 0;
         std::optional<EngineChoice> choice;
@@ -67,51 +68,50 @@
         std::set<std::string> tried;
         int sends = 0;
         int refusals = 0;
-        int eventsGot = 0;
+        int receivedEvents = 0;
         double lastEventAt = 0;
-        bool isReading = false;
+        bool isPrefilling = false;
         bool isPromptRead = false;
         bool allowsHandOver = true;
         bool mayHaveRun = false;
         bool isOver = false;
-        bool wasAsked = false;
-        bool isHeld = false;
-        Millis heldAt;
-        /** In which engine's book the reading is entered, and as what; empty for none. */
-        std::string book;
-        PrefillId ticket;
-        std::map<std::string, PrefillEstimate> offers;
+        bool wasQueried = false;
+        bool isDeferred = false;
+        Millis deferredAt;
+        /** Engine whose tracker holds the prefill, and its id there; empty for none. */
+        std::string trackedEngine;
+        PrefillId prefillId;
+        std::map<std::string, PrefillEstimate> estimates;
     };
 
     void arrive(std::size_t index);
     void dispatch(std::size_t index);
-    void askBooks(std::size_t index);
-    /** Enters a reading that is sent off in its engine's book, and takes it back if it ends early.
-     */
-    void enterBook(std::size_t index);
-    void takeBack(std::size_t index);
+    void queryTrackers(std::size_t index);
+    /** Adds a dispatched prefill to its engine's tracker; cancelTrackedPrefill() undoes it. */
+    void trackPrefill(std::size_t index);
+    void cancelTrackedPrefill(std::size_t index);
     PromptDecision decide(std::size_t index) const;
-    void place(std::size_t index);
-    void sendHeld(Instance &instance);
-    void releaseHeld(std::size_t index);
-    bool mayRepeat(std::size_t index);
+    void dispatchToEngine(std::size_t index);
+    void dispatchDeferred(Instance &instance);
+    void clearDeferred(std::size_t index);
+    bool tryAcquireRetry(std::size_t index);
     PlacementQuery queryFor(std::size_t index) const;
     void send(std::size_t index, const std::string &engine, bool isPrefill);
     void sendFetched(std::size_t index);
     void onOutput(const EngineOutput &output);
-    void promptReadApart(std::size_t index);
-    void gotEvent(std::size_t index);
-    void finished(std::size_t index);
-    void refused(std::size_t index, EngineRefusal why);
-    void lost(std::uint64_t job, bool mayHaveRun);
-    void settle(std::size_t index);
+    void onPrefillDone(std::size_t index);
+    void onEvent(std::size_t index);
+    void onDone(std::size_t index);
+    void onRefused(std::size_t index, EngineRefusal why);
+    void onLost(std::uint64_t job, bool mayHaveRun);
+    void endAttempt(std::size_t index);
     void giveUp(std::size_t index);
     void end(std::size_t index, LoadEnding ending);
-    void reachCaller(std::size_t index, double delay, void (LoadRun::*what)(std::size_t));
+    void notifyInstance(std::size_t index, double delay, void (LoadRun::*what)(std::size_t));
 
     const LoadKind &kindOf(std::size_t index) const { return plan_.kinds[requests_[index].kind]; }
     Instance &instanceOf(std::size_t index) { return instances_[requests_[index].instance]; }
-    std::string readerOf(const Flight &flight) const;
+    std::string firstEngineOf(const RequestState &state) const;
     double travel(std::size_t index, const std::string &engineDomain) const;
     Millis now() const { return Millis(static_cast<std::int64_t>(queue_.now())); }
 
@@ -120,15 +120,15 @@
     EventQueue queue_;
     EngineFleet fleet_;
     std::vector<Instance> instances_;
-    std::vector<Flight> flights_;
+    std::vector<RequestState> requestStates_;
     std::vector<LoadRecord> records_;
     std::vector<EngineSample> samples_;
     std::unordered_map<std::uint64_t, std::size_t> byJob_;
     std::uint64_t nextJob_ = 1;
-    int repeats_ = 0;
+    int retries_ = 0;
     PromptDeferral deferral_;
-    /** One for each engine. Asked without delay: two instances are a millisecond apart. */
-    std::map<std::string, PrefillTracker> books_;
+    /** One per engine. Queried without delay, since instances are only a millisecond apart. */
+    std::map<std::string, PrefillTracker> prefillTrackers_;
     DecisionSettings decisions_;
     std::function<double()> stopwatch_;
     std::vector<double> decisionMicros_;
--- a/modules/emulation/run/LoadRun_test.cpp
+++ b/modules/emulation/run/LoadRun_test.cpp
@@ -31,7 +31,7 @@
     return run.report();
 }
 
-/** Means over the first few seeds. */
+/** Means over all seeds. */
 struct Means
 {
     double earned = 0;
@@ -54,7 +54,7 @@
 
 } // namespace
 
-TEST_CASE("every request ends once, and a seed always gives the same figures")
+TEST_CASE("every request has one outcome, and a seed always gives the same results")
 {
     const LoadPlan plan = exampleLoad("reclaim-in-a-swing");
     for (const auto &entry : placementNames.entries) {
@@ -71,59 +71,60 @@
     }
 }
 
-// Prompts of a busy mix come faster than generating engines can read them between their streams.
-// Read there, each one lengthens every step, and callers see pauses of a third of a second.
-TEST_CASE("replay: reading prompts apart keeps streams flowing while the mix swings")
+// Guards against prefill on decode engines under heavy load: each prompt lengthens every step of
+// the batch, and streams pause for a third of a second.
+TEST_CASE("replay: separate prefill shortens stream pauses while the request mix varies")
 {
     const LoadPlan plan = exampleLoad("mix-swings");
-    LoadChoices whereTheyRun;
-    whereTheyRun.decisions.placement.ownReadFactor = 1;
-    whereTheyRun.decisions.placement.ownReadMillis = 0;
-    whereTheyRun.decisions.placement.leastHandOverTokens = 1200;
-    const Means before = play(plan, whereTheyRun);
-    const Means now = play(plan);
-    CHECK(now.earned > before.earned + 0.05);
-    CHECK(now.pauseP90Ms < before.pauseP90Ms / 2);
+    LoadChoices localPrefill;
+    localPrefill.decisions.placement.ownReadFactor = 1;
+    localPrefill.decisions.placement.ownReadMillis = 0;
+    localPrefill.decisions.placement.leastHandOverTokens = 1200;
+    const Means baseline = play(plan, localPrefill);
+    const Means current = play(plan);
+    CHECK(current.earned > baseline.earned + 0.05);
+    CHECK(current.pauseP90Ms < baseline.pauseP90Ms / 2);
 }
 
-// Shared parts of prompts are far larger than the rest. Sent anywhere, each is read everywhere.
-TEST_CASE("replay: homes for shared parts earn more than the least busy engine and than turns")
+// Guards against placement that ignores shared parts: they are far larger than the rest of a
+// prompt, and every engine would prefill each of them.
+TEST_CASE("replay: affinity for shared parts earns more than least-busy and round-robin placement")
 {
     struct Row
     {
         const char *name;
-        /** What turns earn must be this many times less; the copyists' fleet has room to spare. */
-        double timesTurns;
+        /** Required ratio to round-robin; lower for copyists, whose fleet has spare capacity. */
+        double minRatioToRoundRobin;
     };
     for (const Row &row : {Row{"mix-swings", 1.3}, Row{"crashes", 1.3}, Row{"copyists", 1.08}}) {
         CAPTURE(row.name);
         const LoadPlan plan = exampleLoad(row.name);
         LoadChoices leastBusy;
         leastBusy.placement = PlacementKind::LeastBusy;
-        LoadChoices turns;
-        turns.placement = PlacementKind::RoundRobin;
+        LoadChoices roundRobin;
+        roundRobin.placement = PlacementKind::RoundRobin;
         const double earned = play(plan).earned;
         CHECK(earned > play(plan, leastBusy).earned + 0.08);
-        CHECK(earned > row.timesTurns * play(plan, turns).earned);
+        CHECK(earned > row.minRatioToRoundRobin * play(plan, roundRobin).earned);
     }
 }
 
-// A failure domain's engines are reclaimed while the mix swings. The remaining ones have the wrong
-// division, and correcting it takes more of them away.
-TEST_CASE("replay: stages stay as they are while engines are missing")
+// Guards against stage changes while engines are missing: after a failure domain is reclaimed, the
+// split into stages is wrong, but correcting it makes even more engines unavailable.
+TEST_CASE("replay: stages are not changed while engines are missing")
 {
     const LoadPlan plan = exampleLoad("reclaim-in-a-swing");
     LoadChoices correcting;
     correcting.decisions.stages.grossShortage = 1;
     const Means corrected = play(plan, correcting);
-    const Means now = play(plan);
-    CHECK(now.earned > corrected.earned + 0.05);
-    CHECK(now.worstWindows > corrected.worstWindows + 0.1);
+    const Means current = play(plan);
+    CHECK(current.earned > corrected.earned + 0.05);
+    CHECK(current.worstWindows > corrected.worstWindows + 0.1);
 }
 
-// A part's home is full of work, or was taken away with its whole domain, and requests go on
-// queueing for it beside engines that stand idle.
-TEST_CASE("replay: a queue at home is left behind when engines are lost")
+// Guards against strict affinity: the preferred engine of a part is overloaded, or lost with its
+// whole domain, and requests keep queueing for it while other engines are idle.
+TEST_CASE("replay: requests leave a queue at the preferred engine when engines are lost")
 {
     for (const char *name : {"crashes", "reclaim-in-a-swing"}) {
         CAPTURE(name);
@@ -134,56 +135,57 @@
     }
 }
 
-// A domain's cheap engines are reclaimed while planners send three times their usual prompts. Sent
-// to engines at once, nearly all of them get there in time to be late, and callers leave after
-// three seconds with nothing.
-TEST_CASE("replay: prompts that would be late are kept back, and others are on time")
+// Guards against dispatch without deferral: a domain's cheap engines are reclaimed while planners
+// send three times their usual prompts. If all are dispatched at once, nearly all of them are late,
+// and callers time out after three seconds.
+TEST_CASE("replay: prompts that would be late are deferred, so that others are on time")
 {
     const LoadPlan plan = exampleLoad("rosters-reclaimed");
-    LoadChoices atOnce;
-    REQUIRE(atOnce.decisions.set("on-time-share=1000", nullptr));
-    const Means before = play(plan, atOnce);
-    const Means now = play(plan);
-    CHECK(now.earned > before.earned + 0.05);
-    CHECK(now.worstWindows > before.worstWindows + 0.2);
+    LoadChoices withoutDeferral;
+    REQUIRE(withoutDeferral.decisions.set("on-time-share=1000", nullptr));
+    const Means baseline = play(plan, withoutDeferral);
+    const Means current = play(plan);
+    CHECK(current.earned > baseline.earned + 0.05);
+    CHECK(current.worstWindows > baseline.worstWindows + 0.2);
 }
 
-// Nine instances each see a ninth of the load. What looks idle to one is where all others have just
-// sent their prompts, and the part that it holds is read a second time elsewhere.
-TEST_CASE("replay: instances that ask each other's books place prompts where there is room")
+// Guards against placement by local knowledge only: each of nine instances sees a ninth of the
+// load. An engine that looks idle to one has just received the prompts of all others, and a part
+// that it caches is prefilled a second time elsewhere.
+TEST_CASE("replay: instances that query each other's trackers place prompts where capacity is free")
 {
     struct Row
     {
         const char *load;
-        double earnedMore;
-        double worstWindowsMore;
+        double minEarnedGain;
+        double minWorstWindowsGain;
     };
     for (const Row &row : {Row{"rosters-reclaimed", 0.05, 0.15},
                            Row{"reclaim-in-a-swing", 0.03, 0.1}, Row{"crashes", 0.01, 0.03}}) {
         CAPTURE(row.load);
         const LoadPlan plan = exampleLoad(row.load);
-        LoadChoices blind;
-        REQUIRE(blind.decisions.set("books-asked=0", nullptr));
-        REQUIRE(blind.decisions.set("short-books-asked=0", nullptr));
-        const Means before = play(plan, blind);
-        const Means now = play(plan);
-        CHECK(now.earned > before.earned + row.earnedMore);
-        CHECK(now.worstWindows > before.worstWindows + row.worstWindowsMore);
+        LoadChoices withoutQueries;
+        REQUIRE(withoutQueries.decisions.set("books-asked=0", nullptr));
+        REQUIRE(withoutQueries.decisions.set("short-books-asked=0", nullptr));
+        const Means baseline = play(plan, withoutQueries);
+        const Means current = play(plan);
+        CHECK(current.earned > baseline.earned + row.minEarnedGain);
+        CHECK(current.worstWindows > baseline.worstWindows + row.minWorstWindowsGain);
     }
 }
 
-// Engines crash, and the parts that they held are wanted at once. Read again at each engine that
-// takes their place, they keep everybody waiting just when engines are short.
-TEST_CASE("replay: parts are fetched from engines that hold them rather than read again")
+// Guards against repeated prefill after crashes: the parts cached by lost engines are needed at
+// once, and computing them again on each replacement delays requests while engines are short.
+TEST_CASE("replay: parts are fetched from engines that cache them instead of prefilled again")
 {
     for (const char *load : {"crashes", "reclaim-in-a-swing"}) {
         CAPTURE(load);
         const LoadPlan plan = exampleLoad(load);
-        LoadChoices reading;
-        REQUIRE(reading.decisions.set("least-fetch-tokens=1000000", nullptr));
-        const Means before = play(plan, reading);
-        const Means now = play(plan);
-        CHECK(now.earned > before.earned + 0.005);
-        CHECK(now.worstWindows > before.worstWindows + 0.015);
+        LoadChoices withoutFetch;
+        REQUIRE(withoutFetch.decisions.set("least-fetch-tokens=1000000", nullptr));
+        const Means baseline = play(plan, withoutFetch);
+        const Means current = play(plan);
+        CHECK(current.earned > baseline.earned + 0.005);
+        CHECK(current.worstWindows > baseline.worstWindows + 0.015);
     }
 }
--- a/modules/emulation/run/Placement.cpp
+++ b/modules/emulation/run/Placement.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-class OwnPlacement : public Placement
+class ProductionPlacement : public Placement
 {
 public:
-    explicit OwnPlacement(const PlacementWeights &weights) : engines_(weights) { }
+    explicit ProductionPlacement(const PlacementWeights &weights) : engines_(weights) { }
 
     std::optional<EngineChoice> choose(const std::vector<UpstreamPointer> &engines,
                                        const PlacementQuery &query) override
@@ -51,11 +51,11 @@
                                        const PlacementQuery &query) override
     {
         const std::uint64_t key = PromptChain::of(*query.prompt).sharedKey;
-        const auto runner = pick(engines, EngineStage::Decode, query, key);
-        if (runner == nullptr)
+        const auto decodeEngine = pick(engines, EngineStage::Decode, query, key);
+        if (decodeEngine == nullptr)
             return std::nullopt;
         EngineChoice choice;
-        choice.engine = runner;
+        choice.engine = decodeEngine;
         if (query.allowsHandOver)
             choice.prefill = pick(engines, EngineStage::Prefill, query, key);
         return choice;
@@ -66,35 +66,35 @@
 private:
     void add(const EngineChoice &choice, int count)
     {
-        open_[choice.engine->entry.id] += count;
+        openRequests_[choice.engine->entry.id] += count;
         if (choice.prefill)
-            open_[choice.prefill->entry.id] += count;
+            openRequests_[choice.prefill->entry.id] += count;
     }
 
     UpstreamPointer pick(const std::vector<UpstreamPointer> &engines, EngineStage stage,
                          const PlacementQuery &query, std::uint64_t key)
     {
-        std::vector<UpstreamPointer> fitting;
+        std::vector<UpstreamPointer> candidates;
         for (const UpstreamPointer &engine : engines) {
             if (engine->entry.stage == stage && query.tried->count(engine->entry.id) == 0)
-                fitting.push_back(engine);
+                candidates.push_back(engine);
         }
-        if (fitting.empty())
+        if (candidates.empty())
             return nullptr;
         if (kind_ == PlacementKind::RoundRobin)
-            return fitting[turn_++ % fitting.size()];
+            return candidates[nextTurn_++ % candidates.size()];
         const auto cost = [&](const UpstreamPointer &engine) {
             if (kind_ == PlacementKind::CacheAffinity)
                 return double(StableHash().add(key).add(engine->entry.id).value());
-            return double(open_[engine->entry.id]);
+            return double(openRequests_[engine->entry.id]);
         };
-        return *std::min_element(fitting.begin(), fitting.end(),
+        return *std::min_element(candidates.begin(), candidates.end(),
                                  [&](const auto &a, const auto &b) { return cost(a) < cost(b); });
     }
 
     PlacementKind kind_;
-    std::unordered_map<std::string, int> open_;
-    std::size_t turn_ = 0;
+    std::unordered_map<std::string, int> openRequests_;
+    std::size_t nextTurn_ = 0;
 };
 
 } // namespace
@@ -102,7 +102,7 @@
 std::unique_ptr<Placement> makePlacement(PlacementKind kind, const PlacementWeights &weights)
 {
     if (kind == PlacementKind::Cuminrail)
-        return std::make_unique<OwnPlacement>(weights);
+        return std::make_unique<ProductionPlacement>(weights);
     return std::make_unique<BaselinePlacement>(kind);
 }
 
--- a/modules/emulation/run/Placement.h
+++ b/modules/emulation/run/Placement.h
@@ -7,13 +7,13 @@
 
 namespace cuminrail::emulation {
 
-/** Which decisions a run is played with. */
+/** Placement policy of a simulated run. */
 enum class PlacementKind : std::uint8_t {
-    /** What instances really run. */
+    /** The production placement code. */
     Cuminrail,
-    /** The engine with the least of the instance's own requests, prompts always read apart. */
+    /** The engine with the fewest open requests of this instance; always separate prefill. */
     LeastBusy,
-    /** The engine that hashing names for the prompt's shared parts, whatever its load. */
+    /** The engine selected by hashing the prompt's shared parts, regardless of its load. */
     CacheAffinity,
     RoundRobin,
 };
@@ -25,7 +25,7 @@
     {PlacementKind::RoundRobin, "round-robin"},
 }}};
 
-/** One instance's choice of engines, and what it is told of their outcomes. */
+/** Engine selection of one instance, with the notifications that it learns from. */
 class Placement
 {
 public:
@@ -42,11 +42,11 @@
     virtual void runBegan(EngineChoice &, Millis) { }
     virtual void finished(EngineChoice &choice, bool wasRead, Millis now) = 0;
     virtual void refused(const std::string &, Millis) { }
-    /** Returns what instances run, for what only that has; null for a baseline. */
+    /** Returns the production placement; null for a baseline. */
     virtual EnginePlacement *own() { return nullptr; }
 };
 
-/** @c weights are for the instances' own placement. */
+/** @c weights apply to the production placement only. */
 std::unique_ptr<Placement> makePlacement(PlacementKind kind, const PlacementWeights &weights);
 
 } // namespace cuminrail::emulation
