--- a/modules/policybench/engine/FakeEngine.cpp
+++ b/modules/policybench/engine/FakeEngine.cpp
@@ -6,43 +6,43 @@
 
 double PrefixCache::use(const PrefixChain &chain)
 {
-    double held = 0;
-    bool unbroken = true;
-    double before = 0;
+    double hitTokens = 0;
+    bool contiguous = true;
+    double previousEnd = 0;
     std::vector<std::pair<std::uint64_t, double>> parts;
     for (const PrefixPoint &point : chain) {
-        unbroken = unbroken && entries_.count(point.hash) > 0;
-        if (unbroken)
-            held = point.tokens;
-        parts.emplace_back(point.hash, point.tokens - before);
-        before = point.tokens;
+        contiguous = contiguous && entries_.count(point.hash) > 0;
+        if (contiguous)
+            hitTokens = point.tokens;
+        parts.emplace_back(point.hash, point.tokens - previousEnd);
+        previousEnd = point.tokens;
     }
-    // The start of a prompt is touched last: without it the rest is of no use.
+    // The first prefix is touched last and so evicted last: later parts are useless without it.
     for (auto part = parts.rbegin(); part != parts.rend(); ++part)
         touch(part->first, part->second);
-    return held;
+    return hitTokens;
 }
 
 void PrefixCache::touch(std::uint64_t hash, double tokens)
 {
-    const auto known = entries_.find(hash);
-    if (known != entries_.end()) {
-        order_.splice(order_.begin(), order_, known->second);
+    const auto existing = entries_.find(hash);
+    if (existing != entries_.end()) {
+        lruOrder_.splice(lruOrder_.begin(), lruOrder_, existing->second);
         return;
     }
-    order_.push_front({hash, tokens});
-    entries_[hash] = order_.begin();
-    note(hash, true);
-    used_ += tokens;
-    while (used_ > capacity_ && order_.size() > 1) {
-        used_ -= order_.back().tokens;
-        entries_.erase(order_.back().hash);
-        note(order_.back().hash, false);
-        order_.pop_back();
+    lruOrder_.push_front({hash, tokens});
+    entries_[hash] = lruOrder_.begin();
+    recordEvent(hash, true);
+    usedTokens_ += tokens;
+    while (usedTokens_ > capacityTokens_ && lruOrder_.size() > 1) {
+        usedTokens_ -= lruOrder_.back().tokens;
+        entries_.erase(lruOrder_.back().hash);
+        recordEvent(lruOrder_.back().hash, false);
+        lruOrder_.pop_back();
     }
 }
 
-void PrefixCache::note(std::uint64_t hash, bool stored)
+void PrefixCache::recordEvent(std::uint64_t hash, bool stored)
 {
     events_.push_back({nextEvent_++, hash, stored});
 }
@@ -54,111 +54,112 @@
 
 void PrefixCache::clear()
 {
-    order_.clear();
+    lruOrder_.clear();
     entries_.clear();
-    used_ = 0;
+    usedTokens_ = 0;
 }
 
-FakeEngine::FakeEngine(EngineRole startRole, double cacheTokens)
-    : role(startRole), cache_(cacheTokens)
+FakeEngine::FakeEngine(EngineRole initialRole, double cacheTokens)
+    : role(initialRole), cache_(cacheTokens)
 { }
 
 void FakeEngine::add(const EngineJob &job)
 {
-    const auto place = std::find_if(waiting_.begin(), waiting_.end(), [&](const EngineJob &other) {
-        return other.priority > job.priority;
-    });
-    waiting_.insert(place, job);
+    const auto position =
+        std::find_if(waiting_.begin(), waiting_.end(),
+                     [&](const EngineJob &other) { return other.priority > job.priority; });
+    waiting_.insert(position, job);
 }
 
 void FakeEngine::cancel(std::uint64_t id)
 {
-    const auto isJob = [id](const EngineJob &job) { return job.id == id; };
-    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), isJob), waiting_.end());
+    const auto hasId = [id](const EngineJob &job) { return job.id == id; };
+    waiting_.erase(std::remove_if(waiting_.begin(), waiting_.end(), hasId), waiting_.end());
     running_.erase(std::remove_if(running_.begin(), running_.end(),
-                                  [&](const Active &active) { return isJob(active.job); }),
+                                  [&](const ActiveJob &active) { return hasId(active.job); }),
                    running_.end());
 }
 
 std::vector<std::uint64_t> FakeEngine::crash()
 {
-    std::vector<std::uint64_t> lost;
+    std::vector<std::uint64_t> lostJobs;
     for (const EngineJob &job : waiting_)
-        lost.push_back(job.id);
-    for (const Active &active : running_)
-        lost.push_back(active.job.id);
+        lostJobs.push_back(job.id);
+    for (const ActiveJob &active : running_)
+        lostJobs.push_back(active.job.id);
     waiting_.clear();
     running_.clear();
     cache_.clear();
     alive = false;
-    return lost;
+    return lostJobs;
 }
 
-void FakeEngine::startWaiting()
+void FakeEngine::startWaitingJobs()
 {
     while (!waiting_.empty() && static_cast<double>(running_.size()) < EngineModel::slots) {
-        Active active;
+        ActiveJob active;
         active.job = waiting_.front();
         waiting_.erase(waiting_.begin());
         if (active.job.readsPrompt) {
-            const double held = cache_.use(*active.job.prefixes);
+            const double hitTokens = cache_.use(*active.job.prefixes);
             work_.promptTokens += active.job.promptTokens;
-            work_.cachedTokens += held;
-            active.unread = std::max(1.0, active.job.promptTokens - held);
+            work_.cachedTokens += hitTokens;
+            active.remainingPromptTokens = std::max(1.0, active.job.promptTokens - hitTokens);
         }
         running_.push_back(active);
     }
 }
 
-double FakeEngine::planReading()
+double FakeEngine::planPrefill()
 {
     double chunk = EngineModel::mixedChunk;
     if (role == EngineRole::Prefill)
         chunk = EngineModel::prefillChunk;
     else if (role == EngineRole::Decode)
         chunk = EngineModel::decodeChunk;
-    double planned = 0;
-    for (Active &active : running_) {
-        active.planned = std::min(active.unread, chunk - planned);
-        planned += active.planned;
+    double plannedTokens = 0;
+    for (ActiveJob &active : running_) {
+        active.plannedTokens = std::min(active.remainingPromptTokens, chunk - plannedTokens);
+        plannedTokens += active.plannedTokens;
     }
-    return planned;
+    return plannedTokens;
 }
 
 double FakeEngine::beginStep()
 {
-    startWaiting();
-    const double reading = planReading();
-    const auto writing = static_cast<double>(std::count_if(
-        running_.begin(), running_.end(), [](const Active &active) { return active.unread <= 0; }));
-    const double write = writing > 0 ? EngineModel::stepMs(writing) : 2;
-    const double time = write + reading * EngineModel::msPerPromptToken;
-    work_.busyMs += time;
+    startWaitingJobs();
+    const double prefillTokens = planPrefill();
+    const auto decodingJobs = static_cast<double>(
+        std::count_if(running_.begin(), running_.end(),
+                      [](const ActiveJob &active) { return active.remainingPromptTokens <= 0; }));
+    const double decodeMs = decodingJobs > 0 ? EngineModel::stepMs(decodingJobs) : 2;
+    const double durationMs = decodeMs + prefillTokens * EngineModel::msPerPromptToken;
+    work_.busyMs += durationMs;
     work_.steps += 1;
-    work_.answersInSteps += writing;
-    return time;
+    work_.answersInSteps += decodingJobs;
+    return durationMs;
 }
 
 std::vector<JobEvent> FakeEngine::endStep()
 {
     std::vector<JobEvent> events;
-    for (Active &active : running_) {
-        if (active.unread > 0) {
-            active.unread -= active.planned;
-            if (active.unread > 0)
+    for (ActiveJob &active : running_) {
+        if (active.remainingPromptTokens > 0) {
+            active.remainingPromptTokens -= active.plannedTokens;
+            if (active.remainingPromptTokens > 0)
                 continue;
         }
-        // The step that reads the last of the prompt also writes the first token.
-        if (++active.written == 1 && active.job.readsPrompt)
+        // The step that completes the prefill also generates the first token.
+        if (++active.writtenTokens == 1 && active.job.readsPrompt)
             events.push_back({active.job.id, JobProgress::FirstToken});
-        if (!active.job.writesAnswer || active.written >= active.job.outputTokens)
+        if (!active.job.writesAnswer || active.writtenTokens >= active.job.outputTokens)
             events.push_back({active.job.id, JobProgress::Done});
     }
     running_.erase(std::remove_if(running_.begin(), running_.end(),
-                                  [](const Active &active) {
-                                      return active.unread <= 0
+                                  [](const ActiveJob &active) {
+                                      return active.remainingPromptTokens <= 0
                                           && (!active.job.writesAnswer
-                                              || active.written >= active.job.outputTokens);
+                                              || active.writtenTokens >= active.job.outputTokens);
                                   }),
                    running_.end());
     return events;
@@ -169,12 +170,12 @@
     LoadReport report;
     report.running = static_cast<std::uint32_t>(running_.size());
     report.waiting = static_cast<std::uint32_t>(waiting_.size());
-    double unread = 0;
-    for (const Active &active : running_)
-        unread += std::max(0.0, active.unread);
+    double remainingPromptTokens = 0;
+    for (const ActiveJob &active : running_)
+        remainingPromptTokens += std::max(0.0, active.remainingPromptTokens);
     for (const EngineJob &job : waiting_)
-        unread += job.promptTokens;
-    report.waitingPromptTokens = static_cast<std::uint64_t>(unread);
+        remainingPromptTokens += job.promptTokens;
+    report.waitingPromptTokens = static_cast<std::uint64_t>(remainingPromptTokens);
     return report;
 }
 
--- a/modules/policybench/engine/FakeEngine.h
+++ b/modules/policybench/engine/FakeEngine.h
@@ -14,26 +14,26 @@
 
 namespace cuminrail::policybench {
 
-/** Speeds of the fake engines; the same as the defaults of EngineSettings. */
+/** Performance of the fake engines; equal to the defaults of EngineSettings. */
 struct EngineModel
 {
     static constexpr double slots = 32;
     static constexpr double msPerPromptToken = 0.125;
     static constexpr double baseStepMs = 8;
     static constexpr double stepMsPerAnswer = 0.375;
-    /** Prompt tokens read within one step, by role. */
+    /** Largest prefill chunk of one step in tokens, by role. */
     static constexpr double mixedChunk = 512;
     static constexpr double prefillChunk = 2048;
     static constexpr double decodeChunk = 128;
 
-    /** Time of one step that writes a token for each of these answers. */
+    /** Returns the time of one step that generates a token for each of @a answers requests. */
     static constexpr double stepMs(double answers)
     {
         return baseStepMs + stepMsPerAnswer * answers;
     }
 };
 
-/** A change of an engine's cache, as it publishes it. */
+/** A change of an engine's prefix cache, as published by the engine. */
 struct CacheEvent
 {
     std::uint64_t number = 0;
@@ -41,17 +41,17 @@
     bool stored = true;
 };
 
-/** Which prefixes an engine holds: limited memory, the least recently used goes first. */
+/** Prefix cache of an engine, bounded in tokens, with LRU eviction. */
 class PrefixCache
 {
 public:
-    explicit PrefixCache(double capacityTokens) : capacity_(capacityTokens) { }
+    explicit PrefixCache(double capacityTokens) : capacityTokens_(capacityTokens) { }
 
-    /** Returns how many tokens of the prompt are held, and makes it the most recently used. */
+    /** Returns how many prompt tokens are cached, and marks the prompt as most recently used. */
     double use(const PrefixChain &chain);
     void clear();
 
-    /** Returns the changes since the last call. */
+    /** Returns the cache events since the last call. */
     std::vector<CacheEvent> takeEvents();
 
 private:
@@ -62,17 +62,17 @@
     };
     void touch(std::uint64_t hash, double tokens);
 
-    void note(std::uint64_t hash, bool stored);
+    void recordEvent(std::uint64_t hash, bool stored);
 
     std::vector<CacheEvent> events_;
     std::uint64_t nextEvent_ = 1;
-    double capacity_;
-    double used_ = 0;
-    std::list<Entry> order_;
+    double capacityTokens_;
+    double usedTokens_ = 0;
+    std::list<Entry> lruOrder_;
     std::unordered_map<std::uint64_t, std::list<Entry>::iterator> entries_;
 };
 
-/** A request, or one half of it, at an engine. */
+/** A request at an engine, or its prefill or decode phase alone. */
 struct EngineJob
 {
     std::uint64_t id = 0;
@@ -85,7 +85,7 @@
 };
 
 enum class JobProgress : std::uint8_t {
-    /** The prompt is read; without an answer to write, the job is over. */
+    /** Prefill is complete; a job without a decode phase ends here. */
     FirstToken,
     Done,
 };
@@ -96,26 +96,26 @@
     JobProgress progress = JobProgress::Done;
 };
 
-/** One engine with continuous batching, step by step. */
+/** Simulates one engine with continuous batching, step by step. */
 class FakeEngine
 {
 public:
-    FakeEngine(EngineRole role, double cacheTokens);
+    FakeEngine(EngineRole initialRole, double cacheTokens);
 
     void add(const EngineJob &job);
     void cancel(std::uint64_t id);
-    /** Everything is lost. Returns the jobs that were there. */
+    /** Stops the engine and drops its jobs and cache. Returns the ids of the dropped jobs. */
     std::vector<std::uint64_t> crash();
 
     bool hasWork() const { return !running_.empty() || !waiting_.empty(); }
     /** Plans the next step. Returns how long it takes. */
     double beginStep();
-    /** The step is over. */
+    /** Completes the step. Returns the progress that it made. */
     std::vector<JobEvent> endStep();
 
     LoadReport report() const;
     std::vector<CacheEvent> takeCacheEvents() { return cache_.takeEvents(); }
-    /** What it has done so far. */
+    /** Cumulative work counters. */
     struct Work
     {
         double busyMs = 0;
@@ -131,21 +131,21 @@
     bool stepping = false;
 
 private:
-    struct Active
+    struct ActiveJob
     {
         EngineJob job;
-        double unread = 0;
-        double planned = 0;
-        std::uint32_t written = 0;
+        double remainingPromptTokens = 0;
+        double plannedTokens = 0;
+        std::uint32_t writtenTokens = 0;
     };
 
-    void startWaiting();
-    double planReading();
+    void startWaitingJobs();
+    double planPrefill();
 
     Work work_;
     PrefixCache cache_;
     std::vector<EngineJob> waiting_;
-    std::vector<Active> running_;
+    std::vector<ActiveJob> running_;
 };
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/policy/BaselinePolicy.cpp
+++ b/modules/policybench/policy/BaselinePolicy.cpp
@@ -8,17 +8,17 @@
 
 namespace {
 
-constexpr std::size_t longestQueue = 1000;
-constexpr double expectedOutput = 256;
-constexpr Millis avoidFailed = Millis::seconds(5);
-constexpr double affinityBound = 1.25;
-constexpr std::uint32_t homePrefixTokens = 1024;
-constexpr double readingWindowSeconds = 0.45;
+constexpr std::size_t maxQueueLength = 1000;
+constexpr double estimatedOutputTokens = 256;
+constexpr Millis failureAvoidanceTime = Millis::seconds(5);
+constexpr double affinityLoadFactor = 1.25;
+constexpr std::uint32_t maxAffinityPrefixTokens = 1024;
+constexpr double prefillWindowSeconds = 0.45;
 
 double targetMs(const AdmissionRequest &request, double engineRate)
 {
-    const double reading = engineRate > 0 ? request.promptTokens / engineRate * 1000 : 0;
-    const double target = std::max(750.0, 2 * reading);
+    const double prefillMs = engineRate > 0 ? request.promptTokens / engineRate * 1000 : 0;
+    const double target = std::max(750.0, 2 * prefillMs);
     return request.priority == Priority::Interactive ? target : 4 * target;
 }
 
@@ -27,64 +27,64 @@
 BaselinePolicy::BaselinePolicy(PolicySetup setup) : InstancePolicy(std::move(setup))
 { }
 
-bool BaselinePolicy::fits(const Held &held) const
+bool BaselinePolicy::hasCapacityFor(const TrackedRequest &tracked) const
 {
     if (capacity_.slots > 0 && use_.requests + 1 > std::max(1.0, capacity_.slots))
         return false;
     if (setup_.kind != PolicyKind::LeastOutstandingWindow || use_.promptTokens <= 0)
         return true;
-    return use_.promptTokens + held.request.promptTokens
-        <= capacity_.prefillTokensPerSecond * readingWindowSeconds;
+    return use_.promptTokens + tracked.request.promptTokens
+        <= capacity_.prefillTokensPerSecond * prefillWindowSeconds;
 }
 
-void BaselinePolicy::start(Held &held)
+void BaselinePolicy::startRequest(TrackedRequest &tracked)
 {
-    held.running = true;
-    held.reading = true;
+    tracked.running = true;
+    tracked.prefilling = true;
     use_.requests += 1;
-    use_.promptTokens += held.request.promptTokens;
-    (*setup_.sharedLimiters)[held.request.customer].started(held.request.promptTokens
-                                                            + expectedOutput);
+    use_.promptTokens += tracked.request.promptTokens;
+    (*setup_.sharedLimiters)[tracked.request.customer].started(tracked.request.promptTokens
+                                                               + estimatedOutputTokens);
 }
 
 AdmissionDecision BaselinePolicy::submit(const AdmissionRequest &request, Millis now)
 {
     AdmissionDecision decision;
-    decision.expectedOutputTokens = static_cast<std::uint32_t>(expectedOutput);
+    decision.expectedOutputTokens = static_cast<std::uint32_t>(estimatedOutputTokens);
     CustomerLimiter &limiter = (*setup_.sharedLimiters)[request.customer];
     if (const auto limit = limiter.exceededLimit(now)) {
         decision.code = *limit;
         return decision;
     }
-    if (queue_.size() >= longestQueue)
+    if (queue_.size() >= maxQueueLength)
         return decision;
-    Held held;
-    held.request = request;
-    held.giveUpAt = request.priority == Priority::Batch ? request.deadline
-                                                        : now
+    TrackedRequest tracked;
+    tracked.request = request;
+    tracked.expiresAt = request.priority == Priority::Batch ? request.deadline
+                                                            : now
             + Millis(static_cast<std::int64_t>(
                 targetMs(request, setup_.enginePrefillTokensPerSecond)));
     decision.ticket = nextTicket_++;
-    if (queue_.empty() && fits(held)) {
-        start(held);
+    if (queue_.empty() && hasCapacityFor(tracked)) {
+        startRequest(tracked);
         decision.kind = AdmissionKind::Admitted;
     } else {
         queue_.push_back(decision.ticket);
         decision.kind = AdmissionKind::Queued;
     }
-    held_.emplace(decision.ticket, held);
+    trackedRequests_.emplace(decision.ticket, tracked);
     return decision;
 }
 
-void BaselinePolicy::serve(AdmissionChanges &changes, Millis now)
+void BaselinePolicy::admitFromQueue(AdmissionChanges &changes, Millis now)
 {
     while (!queue_.empty()) {
-        Held &held = held_.at(queue_.front());
-        if (held.giveUpAt < now) {
+        TrackedRequest &tracked = trackedRequests_.at(queue_.front());
+        if (tracked.expiresAt < now) {
             changes.refused.push_back({queue_.front(), RefusalCode::Overloaded, {}});
-            held_.erase(queue_.front());
-        } else if (fits(held)) {
-            start(held);
+            trackedRequests_.erase(queue_.front());
+        } else if (hasCapacityFor(tracked)) {
+            startRequest(tracked);
             changes.admitted.push_back(queue_.front());
         } else {
             return;
@@ -96,35 +96,36 @@
 AdmissionChanges BaselinePolicy::firstToken(AdmissionTicket ticket, Millis now)
 {
     AdmissionChanges changes;
-    const auto held = held_.find(ticket);
-    if (held != held_.end() && held->second.reading) {
-        held->second.reading = false;
-        use_.promptTokens -= held->second.request.promptTokens;
-        serve(changes, now);
+    const auto tracked = trackedRequests_.find(ticket);
+    if (tracked != trackedRequests_.end() && tracked->second.prefilling) {
+        tracked->second.prefilling = false;
+        use_.promptTokens -= tracked->second.request.promptTokens;
+        admitFromQueue(changes, now);
     }
     return changes;
 }
 
-void BaselinePolicy::leave(AdmissionTicket ticket, double outputTokens)
+void BaselinePolicy::removeRequest(AdmissionTicket ticket, double outputTokens)
 {
-    const Held &held = held_.at(ticket);
-    if (held.running) {
+    const TrackedRequest &tracked = trackedRequests_.at(ticket);
+    if (tracked.running) {
         use_.requests -= 1;
-        if (held.reading)
-            use_.promptTokens -= held.request.promptTokens;
-        (*setup_.sharedLimiters)[held.request.customer].finished(outputTokens - expectedOutput);
+        if (tracked.prefilling)
+            use_.promptTokens -= tracked.request.promptTokens;
+        (*setup_.sharedLimiters)[tracked.request.customer].finished(outputTokens
+                                                                    - estimatedOutputTokens);
     } else {
         queue_.erase(std::find(queue_.begin(), queue_.end(), ticket));
     }
-    held_.erase(ticket);
+    trackedRequests_.erase(ticket);
 }
 
 AdmissionChanges BaselinePolicy::finished(AdmissionTicket ticket, std::uint32_t outputTokens,
                                           Millis now)
 {
     AdmissionChanges changes;
-    leave(ticket, outputTokens);
-    serve(changes, now);
+    removeRequest(ticket, outputTokens);
+    admitFromQueue(changes, now);
     return changes;
 }
 
@@ -137,15 +138,15 @@
 {
     AdmissionChanges changes;
     for (auto ticket = queue_.begin(); ticket != queue_.end();) {
-        if (held_.at(*ticket).giveUpAt >= now) {
+        if (trackedRequests_.at(*ticket).expiresAt >= now) {
             ++ticket;
             continue;
         }
         changes.refused.push_back({*ticket, RefusalCode::Overloaded, {}});
-        held_.erase(*ticket);
+        trackedRequests_.erase(*ticket);
         ticket = queue_.erase(ticket);
     }
-    serve(changes, now);
+    admitFromQueue(changes, now);
     return changes;
 }
 
@@ -154,8 +155,8 @@
     capacity_ = capacity(use_);
 }
 
-bool BaselinePolicy::mayUse(UpstreamIndex index, const RoutingRequest &request, Millis now,
-                            bool lastResort) const
+bool BaselinePolicy::isEligible(UpstreamIndex index, const RoutingRequest &request, Millis now,
+                                bool lastResort) const
 {
     const RoutedUpstream &upstream = table_->upstream(index);
     const bool redoable = request.repeatable && request.priority == Priority::Batch;
@@ -164,72 +165,75 @@
     const bool tried =
         std::find(request.tried.begin(), request.tried.end(), index) != request.tried.end();
     const auto failed = failedAt_.find(index);
-    const bool avoided = failed != failedAt_.end() && now < failed->second + avoidFailed;
-    return lastResort || (!tried && !avoided);
+    const bool recentlyFailed =
+        failed != failedAt_.end() && now < failed->second + failureAvoidanceTime;
+    return lastResort || (!tried && !recentlyFailed);
 }
 
-std::vector<UpstreamIndex> BaselinePolicy::usable(const RoutingRequest &request, Millis now) const
+std::vector<UpstreamIndex> BaselinePolicy::eligibleUpstreams(const RoutingRequest &request,
+                                                             Millis now) const
 {
     for (bool lastResort : {false, true}) {
-        std::vector<UpstreamIndex> found;
+        std::vector<UpstreamIndex> eligible;
         const RoutingPool &pool = table_->pool(request.pool);
         for (const PoolMembers *members : {&pool.mixed, &pool.prefill, &pool.decode}) {
             std::copy_if(
-                members->all.begin(), members->all.end(), std::back_inserter(found),
-                [&](UpstreamIndex index) { return mayUse(index, request, now, lastResort); });
+                members->all.begin(), members->all.end(), std::back_inserter(eligible),
+                [&](UpstreamIndex index) { return isEligible(index, request, now, lastResort); });
         }
-        if (!found.empty())
-            return found;
+        if (!eligible.empty())
+            return eligible;
     }
     return {};
 }
 
-UpstreamIndex BaselinePolicy::leastOutstanding(const std::vector<UpstreamIndex> &from)
+UpstreamIndex BaselinePolicy::selectLeastOutstanding(const std::vector<UpstreamIndex> &candidates)
 {
-    const std::size_t first = setup_.random() % from.size();
-    UpstreamIndex best = from[first];
-    for (std::size_t i = 0; i < from.size(); ++i) {
-        const UpstreamIndex next = from[(first + i) % from.size()];
+    const std::size_t first = setup_.random() % candidates.size();
+    UpstreamIndex best = candidates[first];
+    for (std::size_t i = 0; i < candidates.size(); ++i) {
+        const UpstreamIndex next = candidates[(first + i) % candidates.size()];
         if (loads_.upstream(next).requests < loads_.upstream(best).requests)
             best = next;
     }
     return best;
 }
 
-/** Consistent hashing with bounded load over the prompt's first tokens. */
-UpstreamIndex BaselinePolicy::byPrefix(const RoutingRequest &request,
-                                       const std::vector<UpstreamIndex> &from)
+/** Selects by consistent hashing with bounded loads, keyed by the first tokens of the prompt. */
+UpstreamIndex BaselinePolicy::selectByPrefix(const RoutingRequest &request,
+                                             const std::vector<UpstreamIndex> &candidates)
 {
     double sum = 0;
-    for (UpstreamIndex index : from)
+    for (UpstreamIndex index : candidates)
         sum += static_cast<double>(loads_.upstream(index).requests);
-    const double bound = affinityBound * (sum + 1) / static_cast<double>(from.size());
+    const double bound = affinityLoadFactor * (sum + 1) / static_cast<double>(candidates.size());
     std::uint64_t hash = request.prefixes->front().hash;
     for (const PrefixPoint &point : *request.prefixes) {
-        if (point.tokens <= homePrefixTokens)
+        if (point.tokens <= maxAffinityPrefixTokens)
             hash = point.hash;
     }
-    for (std::uint64_t salt = 0; salt < from.size(); ++salt) {
+    for (std::uint64_t salt = 0; salt < candidates.size(); ++salt) {
         const UpstreamIndex home = table_->pool(request.pool).home(mixHash(hash, salt));
-        const bool usableHome = std::find(from.begin(), from.end(), home) != from.end();
-        if (usableHome && static_cast<double>(loads_.upstream(home).requests) <= bound)
+        const bool isHomeEligible =
+            std::find(candidates.begin(), candidates.end(), home) != candidates.end();
+        if (isHomeEligible && static_cast<double>(loads_.upstream(home).requests) <= bound)
             return home;
     }
-    return leastOutstanding(from);
+    return selectLeastOutstanding(candidates);
 }
 
 std::optional<RoutingChoice> BaselinePolicy::choose(const RoutingRequest &request, Millis now)
 {
-    const std::vector<UpstreamIndex> from = usable(request, now);
-    if (from.empty())
+    const std::vector<UpstreamIndex> candidates = eligibleUpstreams(request, now);
+    if (candidates.empty())
         return std::nullopt;
     RoutingChoice choice;
     if (setup_.kind == PolicyKind::RoundRobin)
-        choice.upstream = from[turn_++ % from.size()];
+        choice.upstream = candidates[roundRobinPosition_++ % candidates.size()];
     else if (setup_.kind == PolicyKind::PrefixAffinity)
-        choice.upstream = byPrefix(request, from);
+        choice.upstream = selectByPrefix(request, candidates);
     else
-        choice.upstream = leastOutstanding(from);
+        choice.upstream = selectLeastOutstanding(candidates);
     return choice;
 }
 
--- a/modules/policybench/policy/BaselinePolicy.h
+++ b/modules/policybench/policy/BaselinePolicy.h
@@ -8,11 +8,12 @@
 namespace cuminrail::policybench {
 
 /**
-    What is customary: a bounded first-come queue before the engines' slots, and a simple choice.
+    Conventional policies: a bounded FIFO queue in front of the engine slots, and round-robin,
+    least-outstanding or prefix-affinity routing.
 
-    A waiting request whose target has passed is refused at once; engines that failed are left
-    alone for five seconds; limits hold exactly; work that cannot be redone stays off reclaimable
-    engines. Free slots are shared between instances as for cuminrail.
+    A queued request is refused as soon as its first-token target has passed. Engines that failed
+    are avoided for five seconds. Limits are enforced exactly. Requests that are not repeatable
+    never run on reclaimable engines. Free slots are divided between instances as for cuminrail.
 */
 class BaselinePolicy : public InstancePolicy
 {
@@ -29,30 +30,31 @@
     std::optional<RoutingChoice> choose(const RoutingRequest &request, Millis now) override;
 
 private:
-    struct Held
+    struct TrackedRequest
     {
         AdmissionRequest request;
-        Millis giveUpAt;
+        Millis expiresAt;
         bool running = false;
-        bool reading = false;
+        bool prefilling = false;
     };
 
-    bool fits(const Held &held) const;
-    void start(Held &held);
-    void leave(AdmissionTicket ticket, double outputTokens);
-    void serve(AdmissionChanges &changes, Millis now);
-    bool mayUse(UpstreamIndex upstream, const RoutingRequest &request, Millis now,
-                bool lastResort) const;
-    std::vector<UpstreamIndex> usable(const RoutingRequest &request, Millis now) const;
-    UpstreamIndex leastOutstanding(const std::vector<UpstreamIndex> &from);
-    UpstreamIndex byPrefix(const RoutingRequest &request, const std::vector<UpstreamIndex> &from);
-
-    std::unordered_map<AdmissionTicket, Held> held_;
+    bool hasCapacityFor(const TrackedRequest &tracked) const;
+    void startRequest(TrackedRequest &tracked);
+    void removeRequest(AdmissionTicket ticket, double outputTokens);
+    void admitFromQueue(AdmissionChanges &changes, Millis now);
+    bool isEligible(UpstreamIndex upstream, const RoutingRequest &request, Millis now,
+                    bool lastResort) const;
+    std::vector<UpstreamIndex> eligibleUpstreams(const RoutingRequest &request, Millis now) const;
+    UpstreamIndex selectLeastOutstanding(const std::vector<UpstreamIndex> &candidates);
+    UpstreamIndex selectByPrefix(const RoutingRequest &request,
+                                 const std::vector<UpstreamIndex> &candidates);
+
+    std::unordered_map<AdmissionTicket, TrackedRequest> trackedRequests_;
     std::deque<AdmissionTicket> queue_;
     AdmissionCapacity capacity_;
     PoolUse use_;
     AdmissionTicket nextTicket_ = 1;
-    std::size_t turn_ = 0;
+    std::size_t roundRobinPosition_ = 0;
 };
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/policy/CuminrailPolicy.cpp
+++ b/modules/policybench/policy/CuminrailPolicy.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr Millis teamDecay = Millis::minutes(1);
+constexpr Millis teamDecayInterval = Millis::minutes(1);
 
 InstanceId instanceName(std::size_t instance)
 {
@@ -89,7 +89,7 @@
     admission_.setCapacity(setup_.pool, capacity(admission_.use(setup_.pool)));
     ejector_.evaluate(*table_, loads_, now);
     ledger_->poll(now);
-    if (now - decayedAt_ >= teamDecay) {
+    if (now - decayedAt_ >= teamDecayInterval) {
         decayedAt_ = now;
         loads_.decayTeams();
     }
--- a/modules/policybench/policy/CuminrailPolicy.h
+++ b/modules/policybench/policy/CuminrailPolicy.h
@@ -4,7 +4,7 @@
 
 namespace cuminrail::policybench {
 
-/** The modules as an instance runs them. */
+/** Runs the project's own admission, routing and budget modules as an instance does. */
 class CuminrailPolicy : public InstancePolicy
 {
 public:
--- a/modules/policybench/policy/InstancePolicy.cpp
+++ b/modules/policybench/policy/InstancePolicy.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::size_t upstreamCapacity = 64;
-constexpr std::size_t teamCapacity = 8;
-constexpr std::size_t hintEntries = 16384;
+constexpr std::size_t maxUpstreams = 64;
+constexpr std::size_t maxTeams = 8;
+constexpr std::size_t maxHintEntries = 16384;
 
 } // namespace
 
 InstancePolicy::InstancePolicy(PolicySetup setup)
-    : setup_(std::move(setup)), loads_(upstreamCapacity, teamCapacity), hints_(hintEntries),
+    : setup_(std::move(setup)), loads_(maxUpstreams, maxTeams), hints_(maxHintEntries),
       router_(loads_, hints_, {}, nameHash("instance " + std::to_string(setup_.instance)))
 { }
 
@@ -34,13 +34,13 @@
     }
 }
 
-AdmissionCapacity InstancePolicy::capacity(const PoolUse &own) const
+AdmissionCapacity InstancePolicy::capacity(const PoolUse &localUse) const
 {
     const PoolCapacity whole = table_->capacity(setup_.pool);
     const PoolLoad load = poolLoad(*table_, loads_, setup_.pool);
     return instanceCapacity({whole.slots, whole.prefillTokensPerSecond, whole.decodeTokensPerSecond,
                              setup_.enginePrefillTokensPerSecond},
-                            {load.requests, load.promptTokens}, own,
+                            {load.requests, load.promptTokens}, localUse,
                             static_cast<double>(setup_.instances));
 }
 
--- a/modules/policybench/policy/InstancePolicy.h
+++ b/modules/policybench/policy/InstancePolicy.h
@@ -18,14 +18,14 @@
     RoundRobin,
     LeastOutstanding,
     PrefixAffinity,
-    /** Least outstanding behind the same bound on prompts in progress as cuminrail has. */
+    /** Least outstanding behind the same bound on prompts in progress as cuminrail. */
     LeastOutstandingWindow,
-    /** Cuminrail as in a large deployment, where instances do not tell each other their load. */
+    /** Cuminrail as in a large deployment, where instances do not exchange their loads. */
     CuminrailReportsOnly,
     Cuminrail,
-    /** Cuminrail with roles that the capacity module changes. */
+    /** Cuminrail with engine roles assigned by the capacity module. */
     CuminrailRoles,
-    /** The same with roles that follow the mix directly: the baseline for role changes. */
+    /** Cuminrail with roles that follow the request mix directly: the baseline for role changes. */
     CuminrailFollowMix,
 };
 
@@ -40,13 +40,13 @@
     {PolicyKind::CuminrailFollowMix, "cuminrail-follow-mix"},
 }}};
 
-/** Returns true for the policies that run this project's own decisions. */
+/** Returns true for the policies that run this project's own admission and routing. */
 inline bool isCuminrail(PolicyKind kind)
 {
     return kind >= PolicyKind::CuminrailReportsOnly;
 }
 
-/** What all instances of one run share, and what each is told. */
+/** Set-up of one instance: state shared by all instances of a run, and its own parameters. */
 struct PolicySetup
 {
     PolicyKind kind = PolicyKind::Cuminrail;
@@ -55,18 +55,18 @@
     const AdmissionSettings *settings = nullptr;
     PoolIndex pool = 0;
     double enginePrefillTokensPerSecond = 0;
-    /** Baselines hold the limits by one limiter a customer that all instances see at once. */
+    /** For baselines: one limiter per customer, shared by all instances without delay. */
     std::vector<CustomerLimiter> *sharedLimiters = nullptr;
-    /** Messages of the budget ledgers. */
+    /** Sends a frame of the budget ledger to another instance. */
     std::function<void(std::size_t to, const std::string &frame)> send;
-    /** Messages of the load exchange. */
+    /** Sends a frame of the load exchange to another instance. */
     std::function<void(std::size_t to, const std::string &frame)> sendLoads;
-    /** What a poll of the ledger admitted or refused. */
+    /** Called with the requests that a poll of the ledger admitted or refused. */
     std::function<void(const AdmissionChanges &)> changed;
     RandomHook random;
 };
 
-/** One instance's decisions. The live counters are kept in the same way for every policy. */
+/** Admission and routing of one instance. Live counters are updated alike for all policies. */
 class InstancePolicy
 {
 public:
@@ -81,7 +81,7 @@
                                       Millis now) = 0;
     virtual AdmissionChanges cancel(AdmissionTicket ticket, Millis now) = 0;
     virtual AdmissionChanges tick(Millis now) = 0;
-    /** Four times a second. */
+    /** Runs the control loop; called four times a second. */
     virtual void control(Millis now) = 0;
     virtual std::optional<RoutingChoice> choose(const RoutingRequest &request, Millis now) = 0;
     virtual void receive(const std::string &, Millis) { }
@@ -95,13 +95,13 @@
     }
     const RoutingTable &table() const { return *table_; }
     Router &router() { return router_; }
-    /** Cache events of one engine arrived, late and perhaps not all. */
+    /** Applies cache events of one engine; they arrive with a delay, and some may be missing. */
     void cacheEvents(UpstreamIndex upstream, const std::vector<CacheEvent> &events, Millis now);
     void attemptFailed(UpstreamIndex upstream, Millis now) { failedAt_[upstream] = now; }
 
 protected:
-    /** Returns this instance's share of the pool, from reports and own use. */
-    AdmissionCapacity capacity(const PoolUse &own) const;
+    /** Returns this instance's share of the pool, computed from load reports and its own use. */
+    AdmissionCapacity capacity(const PoolUse &localUse) const;
 
     PolicySetup setup_;
     std::shared_ptr<const RoutingTable> table_;
@@ -112,7 +112,7 @@
     std::unordered_map<UpstreamIndex, Millis> failedAt_;
 };
 
-/** Returns a new instance of a policy. */
+/** Creates the policy of the given kind for one instance. */
 std::unique_ptr<InstancePolicy> makeInstancePolicy(PolicySetup setup);
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/roles/RoleControl.cpp
+++ b/modules/policybench/roles/RoleControl.cpp
@@ -13,17 +13,17 @@
 
 void RoleControl::arrived(const WorkloadRequest &request)
 {
-    promptMs_ += WorkloadBuilder::engineMs(request.promptTokens, 0);
-    answerMs_ += WorkloadBuilder::engineMs(0, request.outputTokens);
+    prefillMs_ += WorkloadBuilder::engineMs(request.promptTokens, 0);
+    decodeMs_ += WorkloadBuilder::engineMs(0, request.outputTokens);
 }
 
 std::vector<RoleChange> RoleControl::decide(const std::vector<RoleEngine> &engines, Millis now)
 {
-    const double passed = std::max(1.0, static_cast<double>((now - decidedAt_).count()));
-    const ModelDemand mix{promptMs_ / passed, answerMs_ / passed};
-    promptMs_ = 0;
-    answerMs_ = 0;
-    decidedAt_ = now;
+    const double elapsedMs = std::max(1.0, static_cast<double>((now - lastDecisionAt_).count()));
+    const ModelDemand mix{prefillMs_ / elapsedMs, decodeMs_ / elapsedMs};
+    prefillMs_ = 0;
+    decodeMs_ = 0;
+    lastDecisionAt_ = now;
     if (policy_ == RolePolicy::Fixed)
         return {};
     if (policy_ == RolePolicy::FollowMix)
@@ -41,24 +41,25 @@
     if (sum <= 0)
         return {};
     const auto all = static_cast<double>(engines.size());
-    const double wanted = std::clamp(std::round(all * mix.prefillEngines / sum), 1.0, all - 1);
+    const double targetPrefill =
+        std::clamp(std::round(all * mix.prefillEngines / sum), 1.0, all - 1);
     const auto prefill = static_cast<double>(
         std::count_if(engines.begin(), engines.end(),
                       [](const RoleEngine &engine) { return engine.role == EngineRole::Prefill; }));
-    const EngineRole to = prefill < wanted ? EngineRole::Prefill : EngineRole::Decode;
+    const EngineRole to = prefill < targetPrefill ? EngineRole::Prefill : EngineRole::Decode;
     const bool changing = std::any_of(engines.begin(), engines.end(),
                                       [](const RoleEngine &engine) { return engine.changing; });
-    if (changing || prefill == wanted)
+    if (changing || prefill == targetPrefill)
         return {};
-    const RoleEngine *idlest = nullptr;
+    const RoleEngine *leastBusy = nullptr;
     for (const RoleEngine &engine : engines) {
-        const bool other = engine.role != to && engine.role != EngineRole::None;
-        if (other && (idlest == nullptr || engine.running < idlest->running))
-            idlest = &engine;
+        const bool isCandidate = engine.role != to && engine.role != EngineRole::None;
+        if (isCandidate && (leastBusy == nullptr || engine.running < leastBusy->running))
+            leastBusy = &engine;
     }
-    if (idlest == nullptr)
+    if (leastBusy == nullptr)
         return {};
-    return {RoleChange{idlest->id, to, "the mix of the last second"}};
+    return {RoleChange{leastBusy->id, to, "the mix of the last second"}};
 }
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/roles/RoleControl.h
+++ b/modules/policybench/roles/RoleControl.h
@@ -8,26 +8,26 @@
 
 namespace cuminrail::policybench {
 
-/** How a run decides on roles. */
+/** How a run assigns engine roles. */
 enum class RolePolicy : std::uint8_t {
-    /** Roles stay as the settings have them. */
+    /** Roles stay as configured. */
     Fixed,
     /** The capacity module's RoleBalancer. */
     Balancer,
-    /** The baseline: as many prefill engines as the mix of the last second asks for. */
+    /** The baseline: the share of prefill engines follows the request mix of the last second. */
     FollowMix,
 };
 
-/** Watches what is asked for and decides on role changes, once a second. */
+/** Measures the offered load by phase and decides on role changes, once a second. */
 class RoleControl
 {
 public:
     RoleControl(RolePolicy policy, const Workload &workload);
 
-    /** A request arrived. */
+    /** Counts an arriving request into the demand. */
     void arrived(const WorkloadRequest &request);
 
-    /** Returns the changes to make now. */
+    /** Returns the role changes to start now. */
     std::vector<RoleChange> decide(const std::vector<RoleEngine> &engines, Millis now);
 
 private:
@@ -37,9 +37,9 @@
     RolePolicy policy_;
     const Workload &workload_;
     RoleBalancer balancer_{RoleBalancerOptions()};
-    double promptMs_ = 0;
-    double answerMs_ = 0;
-    Millis decidedAt_;
+    double prefillMs_ = 0;
+    double decodeMs_ = 0;
+    Millis lastDecisionAt_;
 };
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/score/Score.cpp
+++ b/modules/policybench/score/Score.cpp
@@ -14,21 +14,21 @@
 
 constexpr double firstTokenTargetMs = 750;
 constexpr double tokenTargetMs = 51;
-constexpr double standardFactor = 4;
-/** A prompt that takes long to read alone has this multiple of that time. */
-constexpr double readingFactor = 2;
+constexpr double standardTargetFactor = 4;
+/** For long prompts, the first-token target is this multiple of the prefill time alone. */
+constexpr double prefillTargetFactor = 2;
 constexpr double reclaimablePrice = 0.3;
 constexpr double boundWindowMs = 10000;
 constexpr double msPerHour = 3600000;
 
-double firstTokenLimit(const WorkloadRequest &request)
+double firstTokenTarget(const WorkloadRequest &request)
 {
-    const double reading = request.promptTokens * EngineModel::msPerPromptToken;
-    const double limit = std::max(firstTokenTargetMs, readingFactor * reading);
-    return request.priority == Priority::Standard ? standardFactor * limit : limit;
+    const double prefillMs = request.promptTokens * EngineModel::msPerPromptToken;
+    const double target = std::max(firstTokenTargetMs, prefillTargetFactor * prefillMs);
+    return request.priority == Priority::Standard ? standardTargetFactor * target : target;
 }
 
-double tokenTime(const WorkloadRequest &request, const RequestRecord &record)
+double timePerOutputToken(const WorkloadRequest &request, const RequestRecord &record)
 {
     return (record.endedAt - record.firstTokenAt) / std::max(1U, request.outputTokens - 1);
 }
@@ -37,15 +37,15 @@
 {
     if (values.empty())
         return 0;
-    const auto place = values.size() * 95 / 100;
-    std::nth_element(values.begin(), values.begin() + static_cast<long>(place), values.end());
-    return values[place];
+    const auto rank = values.size() * 95 / 100;
+    std::nth_element(values.begin(), values.begin() + static_cast<long>(rank), values.end());
+    return values[rank];
 }
 
 /**
-    How many requests of each customer its own limit allows, by one ideal bucket.
+    Returns how many requests of each customer its limit allows, by one ideal token bucket.
 
-    A customer that sends more than it may has no claim to the rest: goodput counts against this.
+    This is the denominator of goodput, as requests above the limit need not be served.
 */
 std::vector<double> allowedRequests(const Workload &workload)
 {
@@ -64,12 +64,12 @@
     return allowed;
 }
 
-double price(const EngineSettings &engine)
+double pricePerHour(const EngineSettings &engine)
 {
     return engine.costClass == "reclaimable" ? reclaimablePrice : 1;
 }
 
-/** Engine milliseconds between two instants, outages taken off. */
+/** Returns the engine time in milliseconds within an interval, without outages. */
 double capacityBetween(const Workload &workload, double from, double to)
 {
     double sum = (to - from) * static_cast<double>(workload.settings.fleet.engines.size());
@@ -85,7 +85,7 @@
 bool isLate(const WorkloadRequest &request, const RequestRecord &record)
 {
     return request.priority != Priority::Batch
-        && record.firstTokenAt - request.arrival > firstTokenLimit(request);
+        && record.firstTokenAt - request.arrival > firstTokenTarget(request);
 }
 
 bool isGood(const WorkloadRequest &request, const RequestRecord &record)
@@ -96,50 +96,52 @@
         return false;
     if (request.priority == Priority::Batch)
         return true;
-    return !isLate(request, record) && tokenTime(request, record) <= tokenTargetMs;
+    return !isLate(request, record) && timePerOutputToken(request, record) <= tokenTargetMs;
 }
 
 double goodputBound(const Workload &workload)
 {
-    std::unordered_set<std::uint64_t> seen;
+    std::unordered_set<std::uint64_t> seenPrefixes;
     std::vector<std::vector<double>> windows(
         static_cast<std::size_t>(workload.duration / boundWindowMs) + 1);
-    std::vector<double> shiftable;
+    std::vector<double> batchWorks;
     for (const WorkloadRequest &request : workload.requests) {
         double cached = 0;
         for (const PrefixPoint &point : request.prefixes) {
-            if (!seen.insert(point.hash).second)
+            if (!seenPrefixes.insert(point.hash).second)
                 cached = point.tokens;
         }
         const double work =
             WorkloadBuilder::engineMs(request.promptTokens - cached, request.outputTokens);
         if (request.priority == Priority::Batch)
-            shiftable.push_back(work);
+            batchWorks.push_back(work);
         else
             windows[static_cast<std::size_t>(request.arrival / boundWindowMs)].push_back(work);
     }
-    double good = 0;
-    double spare = 0;
-    const auto fill = [&good](std::vector<double> &works, double capacity) {
-        std::sort(works.begin(), works.end());
-        for (double work : works) {
+    double goodCount = 0;
+    double spareMs = 0;
+    const auto serveShortestFirst = [&goodCount](std::vector<double> &requestWorks,
+                                                 double capacity) {
+        std::sort(requestWorks.begin(), requestWorks.end());
+        for (double work : requestWorks) {
             if (work > capacity)
                 break;
             capacity -= work;
-            good += 1;
+            goodCount += 1;
         }
         return capacity;
     };
     for (std::size_t i = 0; i < windows.size(); ++i) {
         const double from = static_cast<double>(i) * boundWindowMs;
         const double to = std::min(workload.duration, from + boundWindowMs);
-        spare += fill(windows[i], capacityBetween(workload, from, std::max(from, to)));
+        spareMs +=
+            serveShortestFirst(windows[i], capacityBetween(workload, from, std::max(from, to)));
     }
-    fill(shiftable, spare);
+    serveShortestFirst(batchWorks, spareMs);
     double allowed = 0;
     for (double count : allowedRequests(workload))
         allowed += count;
-    return std::min(1.0, good / std::max(1.0, allowed));
+    return std::min(1.0, goodCount / std::max(1.0, allowed));
 }
 
 Score scoreOf(const Workload &workload, const std::vector<RequestRecord> &records)
@@ -170,7 +172,7 @@
         if (request.priority == Priority::Batch)
             continue;
         firstTokens.push_back(record.firstTokenAt - request.arrival);
-        tokenTimes.push_back(tokenTime(request, record));
+        tokenTimes.push_back(timePerOutputToken(request, record));
     }
     double goodSum = 0;
     double allowedSum = 0;
@@ -187,10 +189,10 @@
     score.firstTokenP95 = percentile95(std::move(firstTokens));
     score.tokenTimeP95 = percentile95(std::move(tokenTimes));
     score.cheapShare = allTokens > 0 ? cheapTokens / allTokens : 0;
-    double paid = 0;
+    double engineCost = 0;
     for (const EngineSettings &engine : workload.settings.fleet.engines)
-        paid += price(engine) * workload.duration / msPerHour;
-    score.cost = paid / std::max(1.0, goodSum) * 1000;
+        engineCost += pricePerHour(engine) * workload.duration / msPerHour;
+    score.cost = engineCost / std::max(1.0, goodSum) * 1000;
     return score;
 }
 
--- a/modules/policybench/score/Score.h
+++ b/modules/policybench/score/Score.h
@@ -13,18 +13,18 @@
 
 /** How a request of the workload ended. */
 enum class Ending : std::uint8_t {
-    /** No final answer came: must not happen. */
+    /** No final answer: a request was lost, which must not happen. */
     None,
     Answered,
-    /** Refused before it ran. */
+    /** Refused before it was run. */
     Refused,
-    /** Refused by its customer's own limit. */
+    /** Refused because the customer exceeded its limit. */
     RefusedByLimit,
-    /** It broke, and was not repeatable or ran out of attempts; the caller was told. */
+    /** Failed without a retry (not repeatable, or no attempts left); the caller got an error. */
     Failed,
 };
 
-/** What the bench saw of one request. Times in milliseconds from the start of the run. */
+/** Outcome of one request. Times in milliseconds from the start of the run. */
 struct RequestRecord
 {
     Ending ending = Ending::None;
@@ -33,7 +33,7 @@
     bool onReclaimable = false;
 };
 
-/** The figures of one run; names as in the JSON. */
+/** Results of one run; scoreToJson() gives the names in the JSON. */
 struct Score
 {
     double goodput = 0;
@@ -42,37 +42,37 @@
     double firstTokenP95 = 0;
     double tokenTimeP95 = 0;
     std::size_t roleChanges = 0;
-    /** Price of the engines' time for 1,000 good answers; a regular engine's hour is 1. */
+    /** Price of engine time per 1,000 good answers; one hour of a regular engine costs 1. */
     double cost = 0;
-    /** Share of the tokens that ran on reclaimable engines. */
+    /** Share of the tokens processed on reclaimable engines. */
     double cheapShare = 0;
     std::size_t refusedNotRun = 0;
-    /** Answered whole, but the first token came late. */
+    /** Answered completely, but the first token missed its target. */
     std::size_t lateFirstToken = 0;
-    /** Answered whole, but tokens came too slowly, or the answer after its deadline. */
+    /** Answered completely, but tokens were too slow, or the answer missed its deadline. */
     std::size_t slowAnswer = 0;
     std::size_t failed = 0;
     std::size_t lost = 0;
     std::size_t requests = 0;
-    /** Share of the time that engines worked, of prompt tokens that were cached. */
+    /** Share of the time in which engines were busy, and of prompt tokens found in caches. */
     double engineBusy = 0;
     double cachedShare = 0;
-    /** Mean number of answers written in one step. */
+    /** Mean number of answers that one step generates tokens for. */
     double meanBatch = 0;
 };
 
-/** Returns true when the first token came after its target. */
+/** Returns true if the first token missed its target. */
 bool isLate(const WorkloadRequest &request, const RequestRecord &record);
 
-/** Returns true when the answer came whole and within its targets. */
+/** Returns true if the answer was complete and within its targets. */
 bool isGood(const WorkloadRequest &request, const RequestRecord &record);
 
-/** Returns the figures of a run. */
+/** Computes the results of a run. */
 Score scoreOf(const Workload &workload, const std::vector<RequestRecord> &records);
 
 /**
-    Returns an upper bound of the goodput: engines that are always busy, every prefix cached once
-    it was seen, the cheapest requests first.
+    Returns an upper bound of the goodput. Assumes that engines are always busy, that each prefix
+    stays cached after its first use, and that the cheapest requests are served first.
 */
 double goodputBound(const Workload &workload);
 
--- a/modules/policybench/workload/Workload.cpp
+++ b/modules/policybench/workload/Workload.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr double second = 1000;
-constexpr double runLength = 240 * second;
-const std::vector<double> fewLargeCustomers = {6, 4, 3, 1, 1, 1, 0.5, 0.5};
+constexpr double msPerSecond = 1000;
+constexpr double runDurationMs = 240 * msPerSecond;
+const std::vector<double> skewedCustomerShares = {6, 4, 3, 1, 1, 1, 0.5, 0.5};
 
 RequestKind exhibitSummary()
 {
@@ -26,7 +26,7 @@
 
 RequestKind bundleIndex()
 {
-    return {5000, 400, 0.5, Priority::Batch, 0, 1, 1, 60 * second};
+    return {5000, 400, 0.5, Priority::Batch, 0, 1, 1, 60 * msPerSecond};
 }
 
 RequestKind partCheck()
@@ -41,7 +41,7 @@
 
 RequestKind rehearsalMarks()
 {
-    return {1200, 80, 0.5, Priority::Batch, 0.3, 40, 1, 90 * second};
+    return {1200, 80, 0.5, Priority::Batch, 0.3, 40, 1, 90 * msPerSecond};
 }
 
 RequestKind shortChat()
@@ -49,25 +49,25 @@
     return {400, 250, 0.7, Priority::Interactive, 0, 1, 1};
 }
 
-/** The registry closes at the end; work comes ever faster until then. */
+/** The load rises ahead of a closing time at the end of the run. */
 Workload courtDay(WorkloadBuilder builder)
 {
     builder.addEngines(10);
-    builder.addCustomers(fewLargeCustomers);
+    builder.addCustomers(skewedCustomerShares);
     builder.addArrivals([](double time) {
-        const double rise = std::min(1.0, time / (0.75 * runLength));
-        return Mix{0.45 + 0.6 * rise, {exhibitSummary(), privilegeFlag(), bundleIndex()}};
+        const double ramp = std::min(1.0, time / (0.75 * runDurationMs));
+        return Mix{0.45 + 0.6 * ramp, {exhibitSummary(), privilegeFlag(), bundleIndex()}};
     });
     return builder.take();
 }
 
-/** Waves of checking and of reading pages, around what the fleet carries. */
+/** Load and request mix oscillate, with peaks at the capacity of the fleet. */
 Workload festival(WorkloadBuilder builder)
 {
     builder.addEngines(12);
-    builder.addCustomers(fewLargeCustomers);
+    builder.addCustomers(skewedCustomerShares);
     builder.addArrivals([](double time) {
-        const double wave = std::sin(time / (80 * second) * 6.283);
+        const double wave = std::sin(time / (80 * msPerSecond) * 6.283);
         RequestKind check = partCheck();
         check.share *= 1 + 0.8 * wave;
         return Mix{0.75 + 0.25 * wave, {check, handwrittenPage(), rehearsalMarks()}};
@@ -75,21 +75,21 @@
     return builder.take();
 }
 
-/** The share of prefill swings between a tenth and two thirds within a minute. */
+/** The prefill share of the work oscillates between a tenth and two thirds, once a minute. */
 Workload mixSwing(WorkloadBuilder builder)
 {
     builder.addEngines(12);
     builder.addCustomers({1, 1, 1, 1, 1, 1, 1, 1});
     builder.addArrivals([](double time) {
-        const double swing = 0.5 + 0.5 * std::sin(time / (60 * second) * 6.283);
-        RequestKind reading{4000, 60, 0.9, Priority::Interactive, 0, 1, swing};
-        RequestKind writing{250, 400, 0.7, Priority::Interactive, 0, 1, 1 - swing};
-        return Mix{0.9, {reading, writing}};
+        const double prefillHeavyShare = 0.5 + 0.5 * std::sin(time / (60 * msPerSecond) * 6.283);
+        RequestKind prefillHeavy{4000, 60, 0.9, Priority::Interactive, 0, 1, prefillHeavyShare};
+        RequestKind decodeHeavy{250, 400, 0.7, Priority::Interactive, 0, 1, 1 - prefillHeavyShare};
+        return Mix{0.9, {prefillHeavy, decodeHeavy}};
     });
     return builder.take();
 }
 
-/** The same on a fleet that is divided: prefill, decode and mixed engines. */
+/** The same load on a fleet divided into prefill, decode and mixed engines. */
 Workload mixSwingDivided(WorkloadBuilder builder)
 {
     Workload workload = mixSwing(std::move(builder));
@@ -110,42 +110,42 @@
     return builder.take();
 }
 
-/** A third of the engines is gone for a minute and a half. */
+/** One failure domain, a third of the engines, is down for a minute and a half. */
 Workload domainLoss(WorkloadBuilder builder)
 {
     builder.addEngines(12);
-    builder.addCustomers(fewLargeCustomers);
+    builder.addCustomers(skewedCustomerShares);
     builder.addArrivals([](double) {
         return Mix{0.75, {exhibitSummary(), shortChat(), bundleIndex()}};
     });
-    builder.workload.outages.push_back({80 * second, 170 * second, {1, 4, 7, 10}});
+    builder.workload.outages.push_back({80 * msPerSecond, 170 * msPerSecond, {1, 4, 7, 10}});
     return builder.take();
 }
 
-/** Half of the cheaper engines vanish, with all that ran there. */
+/** Half of the reclaimable engines are withdrawn together with their running requests. */
 Workload cheapReclaim(WorkloadBuilder builder)
 {
     builder.addEngines(8);
     builder.addEngines(6, "reclaimable");
-    builder.addCustomers(fewLargeCustomers, 0.5);
+    builder.addCustomers(skewedCustomerShares, 0.5);
     builder.addArrivals([](double) {
         RequestKind index = bundleIndex();
         index.share = 2;
-        RequestKind once = bundleIndex();
-        once.share = 0.2;
-        once.repeatable = false;
-        return Mix{1.1, {exhibitSummary(), shortChat(), index, once}};
+        RequestKind nonRepeatable = bundleIndex();
+        nonRepeatable.share = 0.2;
+        nonRepeatable.repeatable = false;
+        return Mix{1.1, {exhibitSummary(), shortChat(), index, nonRepeatable}};
     });
-    builder.workload.outages.push_back({100 * second, 160 * second, {8, 9, 10}});
+    builder.workload.outages.push_back({100 * msPerSecond, 160 * msPerSecond, {8, 9, 10}});
     return builder.take();
 }
 
-/** Many engines, and reports that are two seconds old when they arrive. */
+/** Many engines whose load reports arrive with a delay of two seconds. */
 Workload staleReports(WorkloadBuilder builder)
 {
     builder.addEngines(24);
-    builder.addCustomers(fewLargeCustomers);
-    builder.workload.reportLag = 2 * second;
+    builder.addCustomers(skewedCustomerShares);
+    builder.workload.reportLag = 2 * msPerSecond;
     builder.addArrivals([](double) {
         RequestKind large{6000, 100, 0.8, Priority::Interactive, 0, 1, 0.5};
         return Mix{0.85, {large, shortChat(), privilegeFlag()}};
@@ -153,11 +153,11 @@
     return builder.take();
 }
 
-/** Many questions about few long documents; the caches of all engines together hold them once. */
+/** Many requests share few long documents; all engine caches together hold each one once. */
 Workload prefixHeavy(WorkloadBuilder builder)
 {
     builder.addEngines(12);
-    builder.addCustomers(fewLargeCustomers);
+    builder.addCustomers(skewedCustomerShares);
     builder.workload.cacheTokens = 120000;
     builder.addArrivals([](double) {
         RequestKind question{7000, 100, 0.4, Priority::Interactive, 0.92, 20, 1};
@@ -166,15 +166,15 @@
     return builder.take();
 }
 
-struct Named
+struct NamedWorkload
 {
     std::string name;
     std::function<Workload(WorkloadBuilder)> make;
 };
 
-const std::vector<Named> &allWorkloads()
+const std::vector<NamedWorkload> &allWorkloads()
 {
-    static const std::vector<Named> all = {
+    static const std::vector<NamedWorkload> all = {
         {"inteko-court-day", courtDay},
         {"kerlann-festival", festival},
         {"mix-swing", mixSwing},
@@ -194,7 +194,7 @@
 {
     static const std::vector<std::string> names = [] {
         std::vector<std::string> list;
-        for (const Named &entry : allWorkloads())
+        for (const NamedWorkload &entry : allWorkloads())
             list.push_back(entry.name);
         return list;
     }();
@@ -203,9 +203,9 @@
 
 std::optional<Workload> makeWorkload(std::string_view name, std::uint64_t seed)
 {
-    for (const Named &entry : allWorkloads()) {
+    for (const NamedWorkload &entry : allWorkloads()) {
         if (entry.name == name)
-            return entry.make(WorkloadBuilder(entry.name, seed, runLength));
+            return entry.make(WorkloadBuilder(entry.name, seed, runDurationMs));
     }
     return std::nullopt;
 }
--- a/modules/policybench/workload/Workload.h
+++ b/modules/policybench/workload/Workload.h
@@ -19,31 +19,31 @@
 struct WorkloadRequest
 {
     double arrival = 0;
-    /** Place of the customer in Workload::customers. */
+    /** Index of the customer in Workload::customers. */
     std::size_t customer = 0;
-    /** The instance that the balancer sends it to. */
+    /** The instance to which the load balancer sends the request. */
     std::size_t instance = 0;
     Priority priority = Priority::Interactive;
     std::uint32_t promptTokens = 0;
     std::uint32_t outputTokens = 0;
     std::uint32_t maxOutputTokens = 0;
-    /** When the whole answer must be there; 0 for none. */
+    /** Time by which the complete answer is required; 0 for none. */
     double deadline = 0;
     bool repeatable = true;
-    /** The customer's common start, the document, the whole prompt. */
+    /** Prefixes: shared by all prompts of the customer, up to the document's end, whole prompt. */
     PrefixChain prefixes;
 };
 
-/** Engines that vanish at once, with all that runs there, and come back empty. */
+/** Engines that fail at the same time, lose all their jobs, and return with empty caches. */
 struct Outage
 {
     double from = 0;
     double to = 0;
-    /** Places in Settings::fleet.engines. */
+    /** Indexes into Settings::fleet.engines. */
     std::vector<std::size_t> engines;
 };
 
-/** Everything that a run needs, from a name and a seed. */
+/** Complete input of a run, generated from a name and a seed. */
 struct Workload
 {
     std::string name;
@@ -53,17 +53,17 @@
     std::vector<Outage> outages;
     std::size_t instances = 6;
     double duration = 0;
-    /** How often engines publish their load, and how late it arrives. */
+    /** Interval between load reports of an engine, and their delay, in milliseconds. */
     double reportEvery = 500;
     double reportLag = 300;
-    /** Tokens of prefixes that an engine's cache holds. */
+    /** Capacity of an engine's prefix cache in tokens. */
     double cacheTokens = 200000;
 };
 
-/** Names of all workloads, in the order of the table. */
+/** Returns the names of all workloads, in the order of their definition. */
 const std::vector<std::string> &workloadNames();
 
-/** Returns a workload; the same for the same name and seed. Nothing for an unknown name. */
+/** Returns the workload for a name and a seed (deterministic), or nullopt for unknown names. */
 std::optional<Workload> makeWorkload(std::string_view name, std::uint64_t seed);
 
 } // namespace cuminrail::policybench
--- a/modules/policybench/workload/WorkloadBuilder.cpp
+++ b/modules/policybench/workload/WorkloadBuilder.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr std::size_t domainCount = 3;
-constexpr double commonStartTokens = 128;
-constexpr double longestPrompt = 32000;
-constexpr double longestOutput = 2000;
+constexpr double sharedPrefixTokens = 128;
+constexpr double maxPromptTokens = 32000;
+constexpr double outputTokenLimit = 2000;
 
-std::uint64_t seedOf(const std::string &name, std::uint64_t seed)
+std::uint64_t workloadSeed(const std::string &name, std::uint64_t seed)
 {
     return mixHash(nameHash(name), seed);
 }
@@ -23,7 +23,7 @@
 } // namespace
 
 WorkloadBuilder::WorkloadBuilder(std::string name, std::uint64_t seed, double durationMs)
-    : random_(seedOf(name, seed))
+    : random_(workloadSeed(name, seed))
 {
     workload.name = std::move(name);
     workload.duration = durationMs;
@@ -40,7 +40,7 @@
     return static_cast<double>(random_() >> 11U) * 0x1.0p-53;
 }
 
-/** By Box and Muller, so that figures do not depend on a library's own distributions. */
+/** Uses Box-Muller, so that results do not depend on a library's own distributions. */
 double WorkloadBuilder::logNormal(double median, double spread)
 {
     constexpr double twoPi = 6.283185307179586;
@@ -90,15 +90,15 @@
     return engineMs(uncached, kind.outputTokens) * meanFactor;
 }
 
-const RequestKind &WorkloadBuilder::pick(const std::vector<RequestKind> &kinds)
+const RequestKind &WorkloadBuilder::pickKind(const std::vector<RequestKind> &kinds)
 {
     double sum = 0;
     for (const RequestKind &kind : kinds)
         sum += kind.share;
-    double place = uniform() * sum;
+    double remaining = uniform() * sum;
     for (const RequestKind &kind : kinds) {
-        place -= kind.share;
-        if (place < 0)
+        remaining -= kind.share;
+        if (remaining < 0)
             return kind;
     }
     return kinds.back();
@@ -109,16 +109,17 @@
     double sum = 0;
     for (double share : customerShares_)
         sum += share;
-    double place = uniform() * sum;
+    double remaining = uniform() * sum;
     for (std::size_t i = 0; i < customerShares_.size(); ++i) {
-        place -= customerShares_[i];
-        if (place < 0)
+        remaining -= customerShares_[i];
+        if (remaining < 0)
             return i;
     }
     return customerShares_.size() - 1;
 }
 
-WorkloadRequest WorkloadBuilder::draw(const RequestKind &kind, double time, std::size_t customer)
+WorkloadRequest WorkloadBuilder::drawRequest(const RequestKind &kind, double time,
+                                             std::size_t customer)
 {
     WorkloadRequest request;
     request.arrival = time;
@@ -128,38 +129,39 @@
     request.repeatable = kind.repeatable;
     request.deadline = kind.deadlineAfter > 0 ? time + kind.deadlineAfter : 0;
     request.outputTokens = static_cast<std::uint32_t>(
-        std::clamp(logNormal(kind.outputTokens, kind.spread), 2.0, longestOutput));
-    request.maxOutputTokens = static_cast<std::uint32_t>(longestOutput);
+        std::clamp(logNormal(kind.outputTokens, kind.spread), 2.0, outputTokenLimit));
+    request.maxOutputTokens = static_cast<std::uint32_t>(outputTokenLimit);
 
     const std::uint64_t seed = nameHash(workload.customers[customer].text());
     const auto document = static_cast<std::uint64_t>(uniform() * double(kind.documents));
-    // Documents change slowly, so that caches have to follow.
+    // Documents are replaced gradually, so that cache contents become outdated.
     const auto epoch = static_cast<std::uint64_t>(time / 60000 + double(document % 7) / 7);
     const std::uint64_t documentHash = mixHash(mixHash(seed, document + 1), epoch + 1);
-    // A document's length belongs to the document, not to the question about it.
+    // The length depends on the document alone, so that all requests for it share its prefixes.
     const double documentFactor = 0.5 + double(mixHash(documentHash, 7) % 1000) / 1000;
     const double documentTokens = kind.promptTokens * kind.documentShare * documentFactor;
-    const double own =
+    const double uniqueTokens =
         std::max(16.0, logNormal(kind.promptTokens * (1 - kind.documentShare), kind.spread));
-    const double whole = std::min(longestPrompt, commonStartTokens + documentTokens + own);
-    request.promptTokens = static_cast<std::uint32_t>(whole);
-    request.prefixes.push_back({mixHash(seed, 99), std::uint32_t(commonStartTokens)});
+    const double totalTokens =
+        std::min(maxPromptTokens, sharedPrefixTokens + documentTokens + uniqueTokens);
+    request.promptTokens = static_cast<std::uint32_t>(totalTokens);
+    request.prefixes.push_back({mixHash(seed, 99), std::uint32_t(sharedPrefixTokens)});
     if (kind.documentShare > 0) {
-        const double end = std::min(whole, commonStartTokens + documentTokens);
-        for (double length = 256; length < end; length *= 2)
+        const double documentEnd = std::min(totalTokens, sharedPrefixTokens + documentTokens);
+        for (double length = 256; length < documentEnd; length *= 2)
             request.prefixes.push_back(
                 {mixHash(documentHash, std::uint64_t(length)), static_cast<std::uint32_t>(length)});
-        request.prefixes.push_back({documentHash, static_cast<std::uint32_t>(end)});
+        request.prefixes.push_back({documentHash, static_cast<std::uint32_t>(documentEnd)});
     }
-    request.prefixes.push_back({mixHash(++unique_, seed), request.promptTokens});
+    request.prefixes.push_back({mixHash(++lastUniqueId_, seed), request.promptTokens});
     return request;
 }
 
 void WorkloadBuilder::addArrivals(const std::function<Mix(double)> &mixAt)
 {
-    double regular = 0;
+    double regularEngines = 0;
     for (const EngineSettings &engine : workload.settings.fleet.engines)
-        regular += engine.costClass == "regular" ? 1 : 0;
+        regularEngines += engine.costClass == "regular" ? 1 : 0;
     double time = 0;
     while (true) {
         const Mix mix = mixAt(time);
@@ -169,11 +171,11 @@
             shares += kind.share;
             work += kind.share * meanEngineMs(kind);
         }
-        const double perMs = mix.load * regular / (work / shares);
-        time += -std::log(1 - uniform()) / perMs;
+        const double arrivalsPerMs = mix.load * regularEngines / (work / shares);
+        time += -std::log(1 - uniform()) / arrivalsPerMs;
         if (time >= workload.duration)
             return;
-        workload.requests.push_back(draw(pick(mix.kinds), time, pickCustomer()));
+        workload.requests.push_back(drawRequest(pickKind(mix.kinds), time, pickCustomer()));
     }
 }
 
@@ -181,18 +183,19 @@
                                const std::vector<std::size_t> &instances)
 {
     const auto engines = static_cast<double>(workload.settings.fleet.engines.size());
-    const double perMs = load * engines / meanEngineMs(kind);
+    const double arrivalsPerMs = load * engines / meanEngineMs(kind);
     const double meanTokens =
         (kind.promptTokens + kind.outputTokens) * std::exp(kind.spread * kind.spread / 2);
-    CustomerSettings whale;
-    whale.id = CustomerId("whale");
-    whale.team = workload.settings.teams[0].id;
-    whale.limits.tokensPerSecond = limitLoad * engines * 1000 / meanEngineMs(kind) * meanTokens;
-    workload.settings.teams[0].customers.push_back(whale);
-    workload.customers.push_back(whale.id);
+    CustomerSettings heavyCustomer;
+    heavyCustomer.id = CustomerId("whale");
+    heavyCustomer.team = workload.settings.teams[0].id;
+    heavyCustomer.limits.tokensPerSecond =
+        limitLoad * engines * 1000 / meanEngineMs(kind) * meanTokens;
+    workload.settings.teams[0].customers.push_back(heavyCustomer);
+    workload.customers.push_back(heavyCustomer.id);
     double time = 0;
-    while ((time += -std::log(1 - uniform()) / perMs) < workload.duration) {
-        WorkloadRequest request = draw(kind, time, workload.customers.size() - 1);
+    while ((time += -std::log(1 - uniform()) / arrivalsPerMs) < workload.duration) {
+        WorkloadRequest request = drawRequest(kind, time, workload.customers.size() - 1);
         request.instance = instances[random_() % instances.size()];
         workload.requests.push_back(std::move(request));
     }
