--- a/modules/policybench/simulation/PolicyBench.cpp
+++ b/modules/policybench/simulation/PolicyBench.cpp
@@ -8,10 +8,10 @@
                 std::vector<RequestRecord> *records)
 {
     Simulation simulation(workload, policy, seed);
-    const std::vector<RequestRecord> &seen = simulation.run();
+    const std::vector<RequestRecord> &simulated = simulation.run();
     if (records != nullptr)
-        *records = seen;
-    Score score = scoreOf(workload, seen);
+        *records = simulated;
+    Score score = scoreOf(workload, simulated);
     simulation.describeEngines(score);
     return score;
 }
--- a/modules/policybench/simulation/PolicyBench.h
+++ b/modules/policybench/simulation/PolicyBench.h
@@ -7,7 +7,7 @@
 
 namespace cuminrail::policybench {
 
-/** Runs a workload under a policy. @param records  what became of each request; may be null. */
+/** Runs a workload under a policy. @param records  receives each outcome; may be null. */
 Score runPolicy(const Workload &workload, PolicyKind policy, std::uint64_t seed,
                 std::vector<RequestRecord> *records = nullptr);
 
--- a/modules/policybench/simulation/PolicyBench_test.cpp
+++ b/modules/policybench/simulation/PolicyBench_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t seed = 7;
 
-/** The first part of a workload: long enough for queues and short enough for a test. */
+/** Returns the first part of a workload: long enough for queues, short enough for a test. */
 Workload shortened(const std::string &name, double durationMs)
 {
     Workload workload = *makeWorkload(name, seed);
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a run depends on its seed alone")
+TEST_CASE("runs with the same seed give the same results")
 {
     const Workload workload = shortened("kerlann-festival", 20000);
     const Score first = runPolicy(workload, PolicyKind::Cuminrail, seed);
@@ -49,19 +49,19 @@
     CHECK(first.refusedNotRun == second.refusedNotRun);
 }
 
-TEST_CASE("the worst-served customer fares nearly as well as all, with a whale present")
+TEST_CASE("worst-served customer is near the overall goodput despite a customer over its limit")
 {
-    // One customer sends three times what it may, through two of the six instances. Without fair
-    // queueing the others' people wait behind its requests.
+    // One customer sends three times its limit, through two of the six instances. Without fair
+    // queueing, requests of other customers wait behind its requests.
     const Workload workload = shortened("whale-customer", 120000);
     const Score score = runPolicy(workload, PolicyKind::Cuminrail, seed);
     CHECK(score.worstCustomer >= 0.9 * score.goodput);
 }
 
-TEST_CASE("a lost failure domain loses no request, and nothing that may not run twice does")
+TEST_CASE("no request is lost when a failure domain goes down, and few fail")
 {
-    // A third of the engines vanish with all that runs there, and the platform's list tells of it
-    // three seconds later. Callers whose answers broke get them from elsewhere.
+    // A third of the engines fail with all their jobs, and the platform's list shows it three
+    // seconds later. Interrupted requests are retried on other engines.
     Workload workload = shortened("domain-loss", 100000);
     std::vector<RequestRecord> records;
     const Score score = runPolicy(workload, PolicyKind::Cuminrail, seed, &records);
@@ -69,7 +69,7 @@
     CHECK(score.failed <= workload.requests.size() / 200);
 }
 
-TEST_CASE("work that may not be repeated never runs on reclaimable engines")
+TEST_CASE("requests that are not repeatable never run on reclaimable engines")
 {
     const Workload workload = shortened("cheap-reclaim", 120000);
     std::vector<RequestRecord> records;
@@ -81,10 +81,10 @@
     }
 }
 
-TEST_CASE("requests that are given up are answered at once, not at their deadline")
+TEST_CASE("requests that cannot meet their target are refused before the target passes")
 {
-    // A refusal that comes when the target is long past helps nobody; the caller could have gone
-    // elsewhere.
+    // After the target, a refusal is useless: the caller could have sent the request elsewhere
+    // in the meantime.
     const Workload workload = shortened("inteko-court-day", 200000);
     std::vector<RequestRecord> records;
     runPolicy(workload, PolicyKind::Cuminrail, seed, &records);
@@ -100,10 +100,10 @@
     CHECK(refused > 50);
 }
 
-TEST_CASE("roles under control change seldom, and serve better than roles that follow the mix")
+TEST_CASE("balanced roles change less often than roles that follow the mix, with no less goodput")
 {
-    // The mix swings within a minute. Each change takes an engine away for seconds; were roles to
-    // follow every swing, engines would change all the time and callers would find them away.
+    // The mix oscillates within a minute. Each role change makes an engine unavailable for seconds;
+    // roles that followed every oscillation would leave too few engines available to callers.
     const Workload workload = shortened("mix-swing-divided", 180000);
     const Score balanced = runPolicy(workload, PolicyKind::CuminrailRoles, seed);
     const Score following = runPolicy(workload, PolicyKind::CuminrailFollowMix, seed);
@@ -112,7 +112,7 @@
     CHECK(balanced.lost + balanced.failed == 0);
 }
 
-TEST_CASE("unknown workloads are refused")
+TEST_CASE("makeWorkload returns nothing for unknown names")
 {
     CHECK_FALSE(makeWorkload("no-such", 1).has_value());
 }
--- a/modules/policybench/simulation/Simulation.cpp
+++ b/modules/policybench/simulation/Simulation.cpp
@@ -10,24 +10,24 @@
 constexpr double sameDomainDelay = 0.25;
 constexpr double otherDomainDelay = 0.75;
 constexpr double peerDelay = 1;
-constexpr double tickEvery = 10;
-constexpr double controlEvery = 250;
-/** How long a broken connection takes to be noticed. */
-constexpr double breakNoticed = 50;
-/** How late the platform's list tells of an outage, and of its end. */
-constexpr double listLag = 3000;
-constexpr double returnLag = 1000;
-/** How long after the last arrival requests may take to end. */
-constexpr double afterwards = 200000;
-constexpr std::uint32_t mostAttempts = 6;
-/** Of so many batches of cache events one is lost. */
-constexpr std::uint64_t lostEvents = 101;
-constexpr double kvMsPerToken = 0.0131;
-
-constexpr double rolesEvery = 1000;
-/** How long an empty engine takes to change role. */
-constexpr double roleChangeTime = 5000;
-constexpr double emptyLookEvery = 50;
+constexpr double tickInterval = 10;
+constexpr double controlInterval = 250;
+/** Time until a broken connection is detected. */
+constexpr double disconnectDetectionDelay = 50;
+/** Delays until the platform's list shows an outage, and its end. */
+constexpr double outageListDelay = 3000;
+constexpr double recoveryListDelay = 1000;
+/** Time allowed after the last arrival for the remaining requests to end. */
+constexpr double completionTimeout = 200000;
+constexpr std::uint32_t maxAttempts = 6;
+/** One of this many batches of cache events is lost. */
+constexpr std::uint64_t eventLossPeriod = 101;
+constexpr double kvTransferMsPerToken = 0.0131;
+
+constexpr double roleInterval = 1000;
+/** Time that an idle engine needs to change its role. */
+constexpr double roleChangeDuration = 5000;
+constexpr double idleCheckInterval = 50;
 
 RolePolicy rolePolicyOf(PolicyKind kind)
 {
@@ -39,25 +39,26 @@
 } // namespace
 
 Simulation::Simulation(const Workload &workload, PolicyKind policy, std::uint64_t seed)
-    : workload_(workload), flights_(workload.requests.size()), records_(workload.requests.size()),
-      byTicket_(workload.instances), roles_(rolePolicyOf(policy), workload),
-      changing_(workload.settings.fleet.engines.size(), false)
+    : workload_(workload), requestStates_(workload.requests.size()),
+      records_(workload.requests.size()), requestByTicket_(workload.instances),
+      roles_(rolePolicyOf(policy), workload),
+      roleChanging_(workload.settings.fleet.engines.size(), false)
 {
     for (const EngineSettings &engine : workload.settings.fleet.engines) {
         indexes_.upstreams.indexOf(engine.id);
         const EngineRole role = engineRoleNames.value(engine.role).value_or(EngineRole::Mixed);
         engines_.emplace_back(role, workload.cacheTokens);
-        facts_.engines[engine.id].incarnation = 1;
-        facts_.engines[engine.id].role = role;
+        fleetState_.engines[engine.id].incarnation = 1;
+        fleetState_.engines[engine.id].role = role;
     }
-    setUpInstances(policy, seed);
+    createInstances(policy, seed);
     publishTable();
     scheduleArrivals(0);
-    scheduleRegular();
+    schedulePeriodicTasks();
     scheduleOutages();
 }
 
-void Simulation::setUpInstances(PolicyKind policy, std::uint64_t seed)
+void Simulation::createInstances(PolicyKind policy, std::uint64_t seed)
 {
     admissionSettings_ =
         buildAdmissionSettings(workload_.settings, indexes_.customers, indexes_.pools);
@@ -81,7 +82,7 @@
             queue_.after(peerDelay,
                          [this, to, frame] { instances_[to]->receiveLoads(frame, now()); });
         };
-        setup.changed = [this, i](const AdmissionChanges &changes) { apply(i, changes); };
+        setup.changed = [this, i](const AdmissionChanges &changes) { applyChanges(i, changes); };
         setup.random = seededRandom(seed * 100 + i);
         instances_.push_back(makeInstancePolicy(std::move(setup)));
     }
@@ -90,7 +91,7 @@
 void Simulation::publishTable()
 {
     table_ = std::make_shared<const RoutingTable>(
-        buildRoutingTable(workload_.settings, facts_, indexes_));
+        buildRoutingTable(workload_.settings, fleetState_, indexes_));
     for (auto &instance : instances_)
         instance->setTable(table_);
 }
@@ -105,18 +106,21 @@
     });
 }
 
-void Simulation::scheduleRegular()
+void Simulation::schedulePeriodicTasks()
 {
     for (std::size_t i = 0; i < instances_.size(); ++i) {
-        const double offset = tickEvery * static_cast<double>(i) / double(instances_.size());
-        for (double time = 0; time < workload_.duration + afterwards; time += controlEvery)
+        const double offset = tickInterval * static_cast<double>(i) / double(instances_.size());
+        for (double time = 0; time < workload_.duration + completionTimeout;
+             time += controlInterval)
             queue_.at(time + offset, [this, i] { instances_[i]->control(now()); });
-        for (double time = tickEvery; time < workload_.duration + afterwards; time += tickEvery)
-            queue_.at(time + offset, [this, i] { apply(i, instances_[i]->tick(now())); });
+        for (double time = tickInterval; time < workload_.duration + completionTimeout;
+             time += tickInterval)
+            queue_.at(time + offset, [this, i] { applyChanges(i, instances_[i]->tick(now())); });
     }
-    for (double time = 0; time < workload_.duration + afterwards; time += workload_.reportEvery)
+    for (double time = 0; time < workload_.duration + completionTimeout;
+         time += workload_.reportEvery)
         queue_.at(time, [this] { reportLoads(); });
-    for (double time = rolesEvery; time < workload_.duration; time += rolesEvery)
+    for (double time = roleInterval; time < workload_.duration; time += roleInterval)
         queue_.at(time, [this] { changeRoles(); });
 }
 
@@ -128,30 +132,30 @@
         const LoadReport load = engines_[index].report();
         if (engines_[index].alive)
             engines.push_back({settings.id, settings.domain, settings.models[0],
-                               facts_.engines[settings.id].role, changing_[index],
+                               fleetState_.engines[settings.id].role, roleChanging_[index],
                                static_cast<double>(load.running + load.waiting)});
     }
     for (const RoleChange &change : roles_.decide(engines, now())) {
         const UpstreamIndex engine = indexes_.upstreams.find(change.engine);
         ++roleChanges_;
-        changing_[engine] = true;
-        facts_.engines[change.engine].role = EngineRole::None;
+        roleChanging_[engine] = true;
+        fleetState_.engines[change.engine].role = EngineRole::None;
         publishTable();
-        changeWhenEmpty(engine, change.to);
+        changeRoleWhenIdle(engine, change.to);
     }
 }
 
-/** A planned change cuts no request: the engine gets no new work, and changes when it is empty. */
-void Simulation::changeWhenEmpty(UpstreamIndex engine, EngineRole to)
+/** Interrupts no request: the engine gets no new work, and changes role once it is idle. */
+void Simulation::changeRoleWhenIdle(UpstreamIndex engine, EngineRole to)
 {
     if (engines_[engine].hasWork()) {
-        queue_.after(emptyLookEvery, [this, engine, to] { changeWhenEmpty(engine, to); });
+        queue_.after(idleCheckInterval, [this, engine, to] { changeRoleWhenIdle(engine, to); });
         return;
     }
-    queue_.after(roleChangeTime, [this, engine, to] {
+    queue_.after(roleChangeDuration, [this, engine, to] {
         engines_[engine].role = to;
-        changing_[engine] = false;
-        facts_.engines[workload_.settings.fleet.engines[engine].id].role = to;
+        roleChanging_[engine] = false;
+        fleetState_.engines[workload_.settings.fleet.engines[engine].id].role = to;
         publishTable();
     });
 }
@@ -163,7 +167,7 @@
             continue;
         const LoadReport report = engines_[engine].report();
         std::vector<CacheEvent> events = engines_[engine].takeCacheEvents();
-        if (++reports_ % lostEvents == 0)
+        if (++reportCount_ % eventLossPeriod == 0)
             events.clear();
         queue_.after(workload_.reportLag, [this, engine, report, events] {
             const Millis age(static_cast<std::int64_t>(workload_.reportLag));
@@ -178,33 +182,33 @@
 void Simulation::scheduleOutages()
 {
     for (const Outage &outage : workload_.outages) {
-        queue_.at(outage.from, [this, &outage] { crash(outage); });
-        queue_.at(outage.to, [this, &outage] { comeBack(outage); });
+        queue_.at(outage.from, [this, &outage] { failEngines(outage); });
+        queue_.at(outage.to, [this, &outage] { recoverEngines(outage); });
     }
 }
 
-void Simulation::crash(const Outage &outage)
+void Simulation::failEngines(const Outage &outage)
 {
     for (std::size_t engine : outage.engines) {
         for (std::uint64_t job : engines_[engine].crash())
-            queue_.after(breakNoticed, [this, job] { broke(job, true); });
+            queue_.after(disconnectDetectionDelay, [this, job] { handleFailure(job, true); });
     }
-    queue_.after(listLag, [this, &outage] {
+    queue_.after(outageListDelay, [this, &outage] {
         for (std::size_t engine : outage.engines) {
             const UpstreamId &id = workload_.settings.fleet.engines[engine].id;
-            facts_.leaving.mark({id, facts_.engines[id].incarnation});
+            fleetState_.leaving.mark({id, fleetState_.engines[id].incarnation});
         }
         publishTable();
     });
 }
 
-void Simulation::comeBack(const Outage &outage)
+void Simulation::recoverEngines(const Outage &outage)
 {
     for (std::size_t engine : outage.engines)
         engines_[engine].alive = true;
-    queue_.after(returnLag, [this, &outage] {
+    queue_.after(recoveryListDelay, [this, &outage] {
         for (std::size_t engine : outage.engines)
-            ++facts_.engines[workload_.settings.fleet.engines[engine].id].incarnation;
+            ++fleetState_.engines[workload_.settings.fleet.engines[engine].id].incarnation;
         publishTable();
     });
 }
@@ -214,7 +218,7 @@
     return static_cast<DomainIndex>(instance % workload_.settings.fleet.domains.size());
 }
 
-double Simulation::delayTo(std::size_t instance, UpstreamIndex engine) const
+double Simulation::networkDelay(std::size_t instance, UpstreamIndex engine) const
 {
     return table_->upstream(engine).domain == domainOf(instance) ? sameDomainDelay
                                                                  : otherDomainDelay;
@@ -222,111 +226,111 @@
 
 void Simulation::submit(std::size_t index)
 {
-    const WorkloadRequest &asked = workload_.requests[index];
-    roles_.arrived(asked);
-    Flight &flight = flights_[index];
+    const WorkloadRequest &offered = workload_.requests[index];
+    roles_.arrived(offered);
+    RequestState &state = requestStates_[index];
     AdmissionRequest request;
-    request.customer = indexes_.customers.find(workload_.customers[asked.customer]);
+    request.customer = indexes_.customers.find(workload_.customers[offered.customer]);
     request.pool = indexes_.pools.find("model:model");
-    request.priority = asked.priority;
-    request.promptTokens = asked.promptTokens;
-    request.maxOutputTokens = asked.maxOutputTokens;
-    if (asked.deadline > 0)
-        request.deadline = Millis(static_cast<std::int64_t>(asked.deadline));
-    const AdmissionDecision decision = instances_[asked.instance]->submit(request, now());
-
-    flight.ticket = decision.ticket;
-    flight.request.pool = request.pool;
-    flight.request.customer = request.customer;
-    flight.request.domain = domainOf(asked.instance);
-    flight.request.priority = asked.priority;
-    flight.request.promptTokens = asked.promptTokens;
-    flight.request.expectedOutputTokens = decision.expectedOutputTokens;
-    flight.request.prefixes = &asked.prefixes;
-    flight.request.repeatable = asked.repeatable;
-    flight.request.kvTransfer = true;
-    ++open_;
+    request.priority = offered.priority;
+    request.promptTokens = offered.promptTokens;
+    request.maxOutputTokens = offered.maxOutputTokens;
+    if (offered.deadline > 0)
+        request.deadline = Millis(static_cast<std::int64_t>(offered.deadline));
+    const AdmissionDecision decision = instances_[offered.instance]->submit(request, now());
+
+    state.ticket = decision.ticket;
+    state.request.pool = request.pool;
+    state.request.customer = request.customer;
+    state.request.domain = domainOf(offered.instance);
+    state.request.priority = offered.priority;
+    state.request.promptTokens = offered.promptTokens;
+    state.request.expectedOutputTokens = decision.expectedOutputTokens;
+    state.request.prefixes = &offered.prefixes;
+    state.request.repeatable = offered.repeatable;
+    state.request.kvTransfer = true;
+    ++unfinishedRequests_;
     if (decision.kind == AdmissionKind::Refused) {
         const bool byLimit = decision.code == RefusalCode::RateLimited
             || decision.code == RefusalCode::ConcurrencyLimited;
-        end(index, byLimit ? Ending::RefusedByLimit : Ending::Refused);
+        finishRequest(index, byLimit ? Ending::RefusedByLimit : Ending::Refused);
         return;
     }
-    byTicket_[asked.instance][decision.ticket] = index;
+    requestByTicket_[offered.instance][decision.ticket] = index;
     if (decision.kind == AdmissionKind::Admitted)
         dispatch(index);
 }
 
-void Simulation::apply(std::size_t instance, const AdmissionChanges &changes)
+void Simulation::applyChanges(std::size_t instance, const AdmissionChanges &changes)
 {
     for (AdmissionTicket ticket : changes.admitted)
-        dispatch(byTicket_[instance].at(ticket));
+        dispatch(requestByTicket_[instance].at(ticket));
     for (const RefusedTicket &refused : changes.refused) {
-        const std::size_t index = byTicket_[instance].at(refused.ticket);
-        byTicket_[instance].erase(refused.ticket);
+        const std::size_t index = requestByTicket_[instance].at(refused.ticket);
+        requestByTicket_[instance].erase(refused.ticket);
         const bool byLimit = refused.code == RefusalCode::RateLimited
             || refused.code == RefusalCode::ConcurrencyLimited;
-        end(index, byLimit ? Ending::RefusedByLimit : Ending::Refused);
+        finishRequest(index, byLimit ? Ending::RefusedByLimit : Ending::Refused);
     }
 }
 
-EngineJob Simulation::jobFor(std::size_t index) const
+EngineJob Simulation::makeJob(std::size_t index) const
 {
-    const WorkloadRequest &asked = workload_.requests[index];
+    const WorkloadRequest &offered = workload_.requests[index];
     EngineJob job;
-    job.id = flights_[index].jobId;
-    job.priority = asked.priority;
-    job.promptTokens = asked.promptTokens;
-    job.prefixes = &asked.prefixes;
-    job.outputTokens = asked.outputTokens;
+    job.id = requestStates_[index].jobId;
+    job.priority = offered.priority;
+    job.promptTokens = offered.promptTokens;
+    job.prefixes = &offered.prefixes;
+    job.outputTokens = offered.outputTokens;
     return job;
 }
 
 void Simulation::dispatch(std::size_t index)
 {
-    const WorkloadRequest &asked = workload_.requests[index];
-    Flight &flight = flights_[index];
-    InstancePolicy &policy = *instances_[asked.instance];
-    flight.request.slack = asked.deadline > 0
-        ? Millis(static_cast<std::int64_t>(asked.deadline)) - now()
+    const WorkloadRequest &offered = workload_.requests[index];
+    RequestState &state = requestStates_[index];
+    InstancePolicy &policy = *instances_[offered.instance];
+    state.request.slack = offered.deadline > 0
+        ? Millis(static_cast<std::int64_t>(offered.deadline)) - now()
         : Millis::never();
-    const auto choice = policy.choose(flight.request, now());
+    const auto choice = policy.choose(state.request, now());
     if (!choice) {
-        const AdmissionTicket ticket = flight.ticket;
-        byTicket_[asked.instance].erase(ticket);
-        end(index, flight.attempts == 0 ? Ending::Refused : Ending::Failed);
-        apply(asked.instance, policy.cancel(ticket, now()));
+        const AdmissionTicket ticket = state.ticket;
+        requestByTicket_[offered.instance].erase(ticket);
+        finishRequest(index, state.attempts == 0 ? Ending::Refused : Ending::Failed);
+        applyChanges(offered.instance, policy.cancel(ticket, now()));
         return;
     }
-    ++flight.attempts;
-    flight.choice = *choice;
-    flight.jobId = nextJob_++;
-    byJob_[flight.jobId] = index;
-    flight.routing = policy.router().started(flight.request, *choice, policy.table(), now());
-    EngineJob job = jobFor(index);
+    ++state.attempts;
+    state.choice = *choice;
+    state.jobId = nextJob_++;
+    requestByJob_[state.jobId] = index;
+    state.routing = policy.router().started(state.request, *choice, policy.table(), now());
+    EngineJob job = makeJob(index);
     if (choice->prefill != noIndex)
         job.writesAnswer = false;
-    send(index, choice->prefill != noIndex ? choice->prefill : choice->upstream, job);
+    sendJob(index, choice->prefill != noIndex ? choice->prefill : choice->upstream, job);
 }
 
-void Simulation::send(std::size_t index, UpstreamIndex to, const EngineJob &job)
+void Simulation::sendJob(std::size_t index, UpstreamIndex to, const EngineJob &job)
 {
-    const double delay = delayTo(workload_.requests[index].instance, to);
-    queue_.after(delay, [this, to, job] { arrive(to, job); });
+    const double delay = networkDelay(workload_.requests[index].instance, to);
+    queue_.after(delay, [this, to, job] { deliverJob(to, job); });
 }
 
-void Simulation::arrive(UpstreamIndex engine, const EngineJob &job)
+void Simulation::deliverJob(UpstreamIndex engine, const EngineJob &job)
 {
     if (!engines_[engine].alive) {
-        queue_.after(sameDomainDelay, [this, id = job.id] { broke(id, false); });
+        queue_.after(sameDomainDelay, [this, id = job.id] { handleFailure(id, false); });
         return;
     }
     engines_[engine].add(job);
     if (!engines_[engine].stepping)
-        step(engine);
+        runStep(engine);
 }
 
-void Simulation::step(UpstreamIndex index)
+void Simulation::runStep(UpstreamIndex index)
 {
     FakeEngine &engine = engines_[index];
     engine.stepping = engine.alive && engine.hasWork();
@@ -335,120 +339,120 @@
     const double time = engine.beginStep();
     queue_.after(time, [this, index] {
         for (const JobEvent &event : engines_[index].endStep())
-            progress(event);
-        step(index);
+            handleJobEvent(event);
+        runStep(index);
     });
 }
 
-void Simulation::progress(const JobEvent &event)
+void Simulation::handleJobEvent(const JobEvent &event)
 {
-    const auto entry = byJob_.find(event.id);
-    if (entry == byJob_.end())
+    const auto entry = requestByJob_.find(event.id);
+    if (entry == requestByJob_.end())
         return;
     const std::size_t index = entry->second;
-    Flight &flight = flights_[index];
-    const bool apart = flight.choice.prefill != noIndex;
-    const double delay = delayTo(workload_.requests[index].instance, flight.choice.upstream);
+    RequestState &state = requestStates_[index];
+    const bool separatePrefill = state.choice.prefill != noIndex;
+    const double delay = networkDelay(workload_.requests[index].instance, state.choice.upstream);
     if (event.progress == JobProgress::FirstToken) {
         queue_.after(delay, [this, index, id = event.id] {
-            if (flights_[index].jobId == id)
-                sawFirstToken(index);
+            if (requestStates_[index].jobId == id)
+                handleFirstToken(index);
         });
         return;
     }
-    if (apart && !flight.firstTokenSeen) {
-        // The prompt is read; its KV cache moves to the engine that writes.
-        EngineJob job = jobFor(index);
+    if (separatePrefill && !state.prefillFinished) {
+        // Prefill is complete; its KV cache is transferred to the decode engine.
+        EngineJob job = makeJob(index);
         job.readsPrompt = false;
-        const double transfer = kvMsPerToken * job.promptTokens;
-        queue_.after(transfer, [this, job, to = flight.choice.upstream] { arrive(to, job); });
-        flight.firstTokenSeen = true;
+        const double transferMs = kvTransferMsPerToken * job.promptTokens;
+        queue_.after(transferMs, [this, job, to = state.choice.upstream] { deliverJob(to, job); });
+        state.prefillFinished = true;
         return;
     }
     queue_.after(delay, [this, index, id = event.id] {
-        if (flights_[index].jobId == id && byJob_.count(id) > 0)
-            done(index);
+        if (requestStates_[index].jobId == id && requestByJob_.count(id) > 0)
+            handleCompletion(index);
     });
 }
 
-void Simulation::sawFirstToken(std::size_t index)
+void Simulation::handleFirstToken(std::size_t index)
 {
     const std::size_t instance = workload_.requests[index].instance;
     records_[index].firstTokenAt = queue_.now();
-    instances_[instance]->router().firstToken(flights_[index].routing, now());
-    apply(instance, instances_[instance]->firstToken(flights_[index].ticket, now()));
+    instances_[instance]->router().firstToken(requestStates_[index].routing, now());
+    applyChanges(instance, instances_[instance]->firstToken(requestStates_[index].ticket, now()));
 }
 
-void Simulation::done(std::size_t index)
+void Simulation::handleCompletion(std::size_t index)
 {
-    const WorkloadRequest &asked = workload_.requests[index];
-    Flight &flight = flights_[index];
-    InstancePolicy &policy = *instances_[asked.instance];
-    policy.router().finished(flight.routing, UpstreamOutcome::Success, now());
-    byJob_.erase(flight.jobId);
-    byTicket_[asked.instance].erase(flight.ticket);
+    const WorkloadRequest &offered = workload_.requests[index];
+    RequestState &state = requestStates_[index];
+    InstancePolicy &policy = *instances_[offered.instance];
+    policy.router().finished(state.routing, UpstreamOutcome::Success, now());
+    requestByJob_.erase(state.jobId);
+    requestByTicket_[offered.instance].erase(state.ticket);
     records_[index].onReclaimable =
-        table_->upstream(flight.choice.upstream).costClass == CostClass::Reclaimable;
-    end(index, Ending::Answered);
-    apply(asked.instance, policy.finished(flight.ticket, asked.outputTokens, now()));
+        table_->upstream(state.choice.upstream).costClass == CostClass::Reclaimable;
+    finishRequest(index, Ending::Answered);
+    applyChanges(offered.instance, policy.finished(state.ticket, offered.outputTokens, now()));
 }
 
-void Simulation::broke(std::uint64_t jobId, bool mayHaveRun)
+void Simulation::handleFailure(std::uint64_t jobId, bool mayHaveRun)
 {
-    const auto entry = byJob_.find(jobId);
-    if (entry == byJob_.end())
+    const auto entry = requestByJob_.find(jobId);
+    if (entry == requestByJob_.end())
         return;
     const std::size_t index = entry->second;
-    byJob_.erase(entry);
-    const WorkloadRequest &asked = workload_.requests[index];
-    Flight &flight = flights_[index];
-    InstancePolicy &policy = *instances_[asked.instance];
-    policy.router().finished(flight.routing, UpstreamOutcome::Failure, now());
-    policy.attemptFailed(flight.choice.upstream, now());
-    flight.firstTokenSeen = false;
-    const bool again = (!mayHaveRun || asked.repeatable) && flight.attempts < mostAttempts;
-    if (again) {
-        flight.request.tried[(flight.attempts - 1) % RoutingRequest::maxTried] =
-            flight.choice.upstream;
+    requestByJob_.erase(entry);
+    const WorkloadRequest &offered = workload_.requests[index];
+    RequestState &state = requestStates_[index];
+    InstancePolicy &policy = *instances_[offered.instance];
+    policy.router().finished(state.routing, UpstreamOutcome::Failure, now());
+    policy.attemptFailed(state.choice.upstream, now());
+    state.prefillFinished = false;
+    const bool canRetry = (!mayHaveRun || offered.repeatable) && state.attempts < maxAttempts;
+    if (canRetry) {
+        state.request.tried[(state.attempts - 1) % RoutingRequest::maxTried] =
+            state.choice.upstream;
         dispatch(index);
         return;
     }
-    const AdmissionTicket ticket = flight.ticket;
-    byTicket_[asked.instance].erase(ticket);
-    end(index, Ending::Failed);
-    apply(asked.instance, policy.cancel(ticket, now()));
+    const AdmissionTicket ticket = state.ticket;
+    requestByTicket_[offered.instance].erase(ticket);
+    finishRequest(index, Ending::Failed);
+    applyChanges(offered.instance, policy.cancel(ticket, now()));
 }
 
-void Simulation::end(std::size_t index, Ending ending)
+void Simulation::finishRequest(std::size_t index, Ending ending)
 {
     records_[index].ending = ending;
     records_[index].endedAt = queue_.now();
-    --open_;
+    --unfinishedRequests_;
 }
 
 const std::vector<RequestRecord> &Simulation::run()
 {
     queue_.runUntil(workload_.duration);
-    const double latest = workload_.duration + afterwards;
-    while (open_ > 0 && queue_.now() < latest)
-        queue_.runUntil(queue_.now() + controlEvery);
+    const double endTime = workload_.duration + completionTimeout;
+    while (unfinishedRequests_ > 0 && queue_.now() < endTime)
+        queue_.runUntil(queue_.now() + controlInterval);
     return records_;
 }
 
 void Simulation::describeEngines(Score &score) const
 {
-    FakeEngine::Work sum;
+    FakeEngine::Work total;
     for (const FakeEngine &engine : engines_) {
-        sum.busyMs += engine.work().busyMs;
-        sum.promptTokens += engine.work().promptTokens;
-        sum.cachedTokens += engine.work().cachedTokens;
-        sum.steps += engine.work().steps;
-        sum.answersInSteps += engine.work().answersInSteps;
+        total.busyMs += engine.work().busyMs;
+        total.promptTokens += engine.work().promptTokens;
+        total.cachedTokens += engine.work().cachedTokens;
+        total.steps += engine.work().steps;
+        total.answersInSteps += engine.work().answersInSteps;
     }
     score.roleChanges = roleChanges_;
-    score.engineBusy = sum.busyMs / (workload_.duration * double(engines_.size()));
-    score.cachedShare = sum.cachedTokens / std::max(1.0, sum.promptTokens);
-    score.meanBatch = sum.answersInSteps / std::max(1.0, sum.steps);
+    score.engineBusy = total.busyMs / (workload_.duration * double(engines_.size()));
+    score.cachedShare = total.cachedTokens / std::max(1.0, total.promptTokens);
+    score.meanBatch = total.answersInSteps / std::max(1.0, total.steps);
 }
 
 } // namespace cuminrail::policybench
