--- a/modules/ctl/commands/CommandLine.cpp
+++ b/modules/ctl/commands/CommandLine.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** One command: its operands and which flags mean something with it. */
+/** A command with its number of operands and supported flags. */
 struct CommandRow
 {
     std::string name;
-    std::size_t fewestOperands;
-    std::size_t mostOperands;
+    std::size_t minOperands;
+    std::size_t maxOperands;
     bool needsPlatform;
     std::vector<std::string> flags;
     std::string meaning;
@@ -118,24 +118,24 @@
             return std::find(names.begin(), names.end(), given.key()) != names.end();
         };
         if (!isListed(general) && !isListed(row.flags))
-            return fail(lastReason, "--" + given.key(), "means nothing with " + row.name);
+            return fail(lastReason, "--" + given.key(), "is not supported by " + row.name);
     }
     return true;
 }
 
 bool checkAddresses(const CommandRow &row, const CtlArguments &arguments, Reason *lastReason)
 {
-    const bool takesInstance = row.name == "drain" || row.name == "state";
+    const bool takesInstanceAddress = row.name == "drain" || row.name == "state";
     if (row.needsPlatform && !isAddress(arguments.platform))
-        return fail(lastReason, "--platform", "must be an IP number and a port");
-    if (takesInstance && !isAddress(arguments.operands.front()))
-        return fail(lastReason, row.name, "takes an IP number and a port");
+        return fail(lastReason, "--platform", "must be an IP address and a port");
+    if (takesInstanceAddress && !isAddress(arguments.operands.front()))
+        return fail(lastReason, row.name, "requires an IP address and a port");
     for (const std::string &admin : arguments.admins) {
         if (!isAddress(admin))
-            return fail(lastReason, "--admin", "must be IP numbers and ports");
+            return fail(lastReason, "--admin", "must be a list of IP addresses and ports");
     }
     if (row.name == "status" && arguments.admins.empty())
-        return fail(lastReason, "--admin", "is needed: whom to ask");
+        return fail(lastReason, "--admin", "is required: addresses of the instances to query");
     return true;
 }
 
@@ -182,9 +182,9 @@
     const std::string format = flags["format"].as<std::string>();
     if (row == nullptr)
         fail(lastReason, "command", "is missing or unknown; see --help");
-    else if (arguments.operands.size() < row->fewestOperands
-             || arguments.operands.size() > row->mostOperands)
-        fail(lastReason, row->name, "takes other operands; see --help");
+    else if (arguments.operands.size() < row->minOperands
+             || arguments.operands.size() > row->maxOperands)
+        fail(lastReason, row->name, "has the wrong number of operands; see --help");
     else if (format != "text" && format != "json")
         fail(lastReason, "--format", "must be text or json");
     else if (checkFlags(*row, flags, lastReason)) {
--- a/modules/ctl/commands/CommandLine.h
+++ b/modules/ctl/commands/CommandLine.h
@@ -10,15 +10,15 @@
 
 namespace cuminrail {
 
-/** What a script learns from the exit code. */
+/** Exit codes of the tool. */
 enum class CtlExit : int {
     Ok = 0,
     /** There are differences, or the settings were refused. */
     Differences = 1,
     Usage = 2,
-    /** Someone else changed the settings meanwhile. */
+    /** Another writer changed the settings concurrently. */
     Conflict = 3,
-    /** The platform or an instance does not answer, or an answer was lost. */
+    /** The platform or an instance did not respond, or a response was lost. */
     Unavailable = 4,
 };
 
@@ -30,19 +30,19 @@
     {CtlExit::Unavailable, "unavailable"},
 }}};
 
-/** A checked command line. */
+/** A validated command line. */
 struct CtlArguments
 {
-    /** "apply", "keys add" and so on. */
+    /** Name of the command, for example "apply" or "keys add". */
     std::string command;
     std::vector<std::string> operands;
     std::string platform;
-    /** Operators' addresses of instances. */
+    /** Addresses of the instances' operator interfaces. */
     std::vector<std::string> admins;
     bool isJson = false;
     bool isDryRun = false;
     bool isWhole = false;
-    /** The generation that the operator looked at. */
+    /** The generation that must be in force for apply to proceed. */
     std::optional<std::uint64_t> base;
     std::string team;
     std::string customer;
@@ -52,14 +52,14 @@
     bool wantsHelp = false;
 };
 
-/** Gives an environment variable, or nothing. */
+/** Returns the value of an environment variable, or nullopt if it is not set. */
 using CtlEnvironment = std::function<std::optional<std::string>(const std::string &)>;
 
-/** Reads a command line; nothing, with a reason, for one that makes no sense. */
+/** Parses a command line; nullopt with a reason if it is invalid. */
 std::optional<CtlArguments> readCtlArguments(int argc, const char *const *argv,
                                              const CtlEnvironment &environment, Reason *lastReason);
 
-/** Returns the help page. */
+/** Returns the help text. */
 std::string ctlHelp();
 
 } // namespace cuminrail
--- a/modules/ctl/commands/CommandLine_test.cpp
+++ b/modules/ctl/commands/CommandLine_test.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST_CASE("command lines that make no sense are refused with a reason")
+TEST_CASE("invalid command lines are refused with a reason")
 {
     const std::string at = "--platform=127.0.0.1:9000";
     const std::vector<std::vector<std::string>> rows = {
@@ -68,20 +68,20 @@
     }
 }
 
-TEST_CASE("flags win over the environment")
+TEST_CASE("flags take precedence over environment variables")
 {
     Reason reason;
     const std::map<std::string, std::string> environment = {
         {"CUMINRAIL_PLATFORM", "10.0.0.1:9000"},
         {"CUMINRAIL_ADMINS", "10.0.0.2:8081,10.0.0.3:8081"},
     };
-    const auto plain = parse({"status"}, &reason, environment);
-    REQUIRE(plain);
-    CHECK(plain->platform == "10.0.0.1:9000");
-    CHECK(plain->admins.size() == 2);
-    const auto flagged = parse({"status", "--platform", "10.0.0.9:9"}, &reason, environment);
-    REQUIRE(flagged);
-    CHECK(flagged->platform == "10.0.0.9:9");
+    const auto fromEnvironment = parse({"status"}, &reason, environment);
+    REQUIRE(fromEnvironment);
+    CHECK(fromEnvironment->platform == "10.0.0.1:9000");
+    CHECK(fromEnvironment->admins.size() == 2);
+    const auto fromFlag = parse({"status", "--platform", "10.0.0.9:9"}, &reason, environment);
+    REQUIRE(fromFlag);
+    CHECK(fromFlag->platform == "10.0.0.9:9");
     CHECK(parse({"keys", "add", "--team", "a", "--customer", "b"}, &reason, environment)->command
           == "keys add");
 }
--- a/modules/ctl/commands/CommandSession.h
+++ b/modules/ctl/commands/CommandSession.h
@@ -8,19 +8,19 @@
 
 namespace cuminrail::detail {
 
-/** Returns a report that a command could not do its work. */
+/** Returns a report of a failed command. */
 CtlReport failure(CtlExit exit, const Reason &reason);
 
-/** Returns a report that settings were refused, with every mistake. */
+/** Returns a report of refused settings that lists every mistake. */
 CtlReport refusal(const std::vector<Reason> &mistakes);
 
-/** Returns what a commit's outcome means to the operator. */
+/** Returns a report of a commit's outcome. */
 CtlReport commitReport(const CommitResult &result);
 
-/** Adds changes to a report, as JSON and as lines of a diff. */
+/** Adds changes to a report, as JSON and as diff lines. */
 void addChanges(CtlReport &report, const std::vector<SettingsChange> &changes);
 
-/** Commands about settings: apply, diff, get, keys, prune. */
+/** Commands that read or change settings: apply, diff, get, keys, prune. */
 class SettingsCommands
 {
 public:
@@ -38,7 +38,7 @@
 private:
     using Edit = std::function<bool(SettingsSubtrees &, Reason *)>;
 
-    /** Reads, edits, checks and commits; again when someone else was faster. */
+    /** Loads, edits, validates and commits the settings; retries on a conflict. */
     CtlReport edit(const Edit &change);
     std::optional<std::string> readKey(Reason *lastReason);
 
@@ -47,7 +47,7 @@
     SettingsRepository &repository_;
 };
 
-/** Commands that ask instances: drain, state, status. */
+/** Commands that send requests to instances: drain, state, status. */
 class InstanceCommands
 {
 public:
@@ -60,8 +60,8 @@
     CtlReport status(SettingsRepository &repository);
 
 private:
-    PlatformAnswer ask(const std::string &address, const std::string &method,
-                       const std::string &target);
+    PlatformAnswer callInstance(const std::string &address, const std::string &method,
+                                const std::string &target);
 
     const CtlArguments &arguments_;
     ControlLoop &loop_;
--- a/modules/ctl/commands/Commands.cpp
+++ b/modules/ctl/commands/Commands.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Has a reader read logs from an operand on; false with a report for one that cannot be read. */
+/** Reads the logs named from operand `first` on; false with a report if one is unreadable. */
 template<typename Reader>
 bool readLogs(const CtlArguments &arguments, std::size_t first, Reader &reader, CtlReport &report)
 {
@@ -28,7 +28,7 @@
     return true;
 }
 
-/** Reads gateways' logs; asks nobody. */
+/** Shows the log lines of one request; needs neither the platform nor an instance. */
 CtlReport explain(const CtlArguments &arguments)
 {
     CtlReport report;
@@ -47,7 +47,7 @@
     return report;
 }
 
-/** Reads gateways' logs; asks nobody. */
+/** Summarizes the requests in logs by route; needs neither the platform nor an instance. */
 CtlReport summarize(const CtlArguments &arguments)
 {
     CtlReport report;
--- a/modules/ctl/commands/Commands.h
+++ b/modules/ctl/commands/Commands.h
@@ -12,7 +12,7 @@
 
 namespace cuminrail {
 
-/** What a command found: for a script as JSON, for people as text. */
+/** Result of a command, as JSON for scripts and as text for operators. */
 struct CtlReport
 {
     CtlExit exit = CtlExit::Ok;
@@ -20,7 +20,7 @@
     std::string text;
 };
 
-/** What commands need of their surroundings. */
+/** External dependencies of commands. */
 struct CtlSurroundings
 {
     std::istream &input;
@@ -28,7 +28,7 @@
     std::function<void(Millis)> wait;
 };
 
-/** Carries out a checked command line. */
+/** Executes a validated command line. */
 CtlReport runCtlCommand(const CtlArguments &arguments, const CtlSurroundings &surroundings);
 
 } // namespace cuminrail
--- a/modules/ctl/commands/Commands_test.cpp
+++ b/modules/ctl/commands/Commands_test.cpp
@@ -19,7 +19,7 @@
 const char *const withdrawnDemoKey =
     "2bfd728ee30ec64131fde65e7b3e4303a849f09494c370309dda07e1c244c41a";
 
-/** A directory of one test's own, gone afterwards. */
+/** A temporary copy of the example settings tree, removed on destruction. */
 class ScratchTree
 {
 public:
@@ -53,11 +53,11 @@
     std::string path_;
 };
 
-/** An operator at a command line, and the platform that it talks to. */
+/** Runs command lines against its own platform stand-in. */
 class Operator
 {
 public:
-    CtlReport run(std::vector<std::string> words, const std::string &typed = "")
+    CtlReport run(std::vector<std::string> words, const std::string &standardInput = "")
     {
         words.insert(words.begin(), "cuminrailctl");
         words.insert(words.end(), {"--platform", platform.address()});
@@ -75,7 +75,7 @@
             report.text = reason.toString();
             return report;
         }
-        std::istringstream input(typed);
+        std::istringstream input(standardInput);
         return runCtlCommand(*arguments, {input, random_, onWait});
     }
 
@@ -95,7 +95,7 @@
 
 } // namespace
 
-TEST_CASE("a tree is shown, put in force, read back, and then makes no difference")
+TEST_CASE("a tree is shown as a diff, applied and read back; applying it again changes nothing")
 {
     Operator op;
     CHECK(op.run({"apply", exampleTree, "--dry-run"}).exit == CtlExit::Differences);
@@ -111,7 +111,7 @@
     CHECK(op.run({"get", "teams/nobody"}).exit == CtlExit::Differences);
 }
 
-TEST_CASE("a tree with a mistake is refused whole, with its place")
+TEST_CASE("a tree with a mistake is refused as a whole, with the path of the mistake")
 {
     const ScratchTree tree;
     Operator op;
@@ -123,10 +123,10 @@
     CHECK(contentsIn(op) == 0);
 }
 
-TEST_CASE("one team's directory is checked together with what the store holds")
+TEST_CASE("a team's directory is validated together with the stored settings")
 {
-    // A team applies its own subtrees alone. Checked alone they would be refused for models that
-    // another subtree defines; unchecked, a key of a customer that nobody has would be in force.
+    // A team applies only its own subtrees. Validated alone, they would be refused for models that
+    // another subtree defines; not validated, a key of an undefined customer would be in force.
     Operator op;
     REQUIRE(op.run({"apply", exampleTree}).exit == CtlExit::Ok);
     const ScratchTree tree;
@@ -141,10 +141,10 @@
     CHECK(op.run({"get"}).json["generation"] == 2);
 }
 
-TEST_CASE("two operators race and the later one is told")
+TEST_CASE("of two concurrent operators the later one gets a conflict")
 {
-    // Both looked at generation 1. The first one's change is in force when the second applies;
-    // without a condition the second would overwrite it, and nobody would see it go.
+    // Both start from generation 1. The first change is in force when the second is applied;
+    // without a version condition the second would silently overwrite it.
     Operator op;
     REQUIRE(op.run({"apply", exampleTree}).exit == CtlExit::Ok);
     const ScratchTree first;
@@ -152,26 +152,26 @@
     first.replace("teams/counsel.json", "\"weight\": 2", "\"weight\": 3");
     second.replace("teams/counsel.json", "\"weight\": 2", "\"weight\": 4");
     CHECK(op.run({"apply", first.path(), "--base", "1"}).exit == CtlExit::Ok);
-    const CtlReport late = op.run({"apply", second.path(), "--base", "1"});
-    CHECK(late.exit == CtlExit::Conflict);
-    CHECK(late.text.find("generation 2") != std::string::npos);
+    const CtlReport laterApply = op.run({"apply", second.path(), "--base", "1"});
+    CHECK(laterApply.exit == CtlExit::Conflict);
+    CHECK(laterApply.text.find("generation 2") != std::string::npos);
 
-    // The same race within the milliseconds between reading and writing.
+    // The same race in the milliseconds between load and commit.
     ControlLoop loop("test");
     SettingsRepository repository(loop, makeHttpObjectStore(loop.client(), op.platform.address()),
                                   seededRandom(1));
     const auto base = repository.load(nullptr);
     REQUIRE(base);
     CHECK(op.run({"apply", second.path()}).exit == CtlExit::Ok);
-    const CommitResult lost = repository.commit(*base, base->subtrees);
-    CHECK(lost.status == CommitStatus::Conflict);
-    CHECK(lost.generation == 3);
+    const CommitResult conflicting = repository.commit(*base, base->subtrees);
+    CHECK(conflicting.status == CommitStatus::Conflict);
+    CHECK(conflicting.generation == 3);
 }
 
-TEST_CASE("an apply that the store breaks off leaves the old tree or the new, never a mixture")
+TEST_CASE("an apply interrupted by a store fault leaves the old or the new tree, never a mixture")
 {
-    // The store dies, or its answers get lost, at the first, second, … write of an apply. Written
-    // in place, the tree would then be part old and part new.
+    // The store fails, or its responses are lost, at the first, second, … write of an apply. If
+    // the tree were written in place, it would then be partly old and partly new.
     for (const char *fault : {"lose-answer", "down", "refuse", "reset"}) {
         for (int skip = 0; skip < 8; ++skip) {
             CAPTURE(fault);
@@ -188,10 +188,10 @@
     }
 }
 
-TEST_CASE("an apply that the store stops taking in the middle puts nothing in force")
+TEST_CASE("an apply during which the store becomes unavailable puts nothing in force")
 {
-    // The store goes away for good after some writes of an apply. What was written by then must
-    // not be in force, and the next apply must not stumble over it.
+    // The store becomes unavailable for good after some writes of an apply. What was written until
+    // then must not be in force and must not make the next apply fail.
     for (const char *fault : {"lose-answer", "down", "refuse"}) {
         for (int skip = 0; skip < 7; ++skip) {
             CAPTURE(fault);
@@ -208,7 +208,7 @@
     }
 }
 
-TEST_CASE("a store that is out changes nothing and says so")
+TEST_CASE("apply reports an unavailable store and changes nothing")
 {
     Operator op;
     REQUIRE(op.platform.setFaults(R"({"rules":[{"fault":"down"}]})"));
@@ -220,9 +220,9 @@
     CHECK(op.run({"get"}).json["generation"] == 0);
 }
 
-TEST_CASE("a head whose answer stays lost is reported as unknown, not as refused")
+TEST_CASE("a head write without any response is reported as unknown, not as refused")
 {
-    // The store takes the head and every answer is lost. "Nothing was changed" would be untrue.
+    // The store accepts the head but every response is lost. "Nothing was changed" would be wrong.
     Operator op;
     REQUIRE(op.platform.setFaults(
         R"({"rules":[{"fault":"lose-answer","method":"PUT","path_prefix":"/objects/settings/head"},
@@ -232,10 +232,10 @@
     CHECK(report.json["commit"] == "unknown");
 }
 
-TEST_CASE("keys are made, withdrawn for good, and never come back by an old directory")
+TEST_CASE("keys are created and withdrawn; an outdated directory cannot make them valid again")
 {
     // A key is stolen and withdrawn. Later someone applies a directory that was checked out before
-    // that; the thief would be let in again.
+    // the withdrawal; the stolen key would be accepted again.
     Operator op;
     REQUIRE(op.run({"apply", exampleTree}).exit == CtlExit::Ok);
     const CtlReport added =
@@ -258,11 +258,11 @@
     CHECK(revived.text.find("was withdrawn") != std::string::npos);
 }
 
-TEST_CASE("pruning removes what no head names, but nothing that is being written")
+TEST_CASE("pruning removes unreferenced contents, but none of a commit in progress")
 {
-    // Pruning runs while an operator has written contents and is about to write the head that
-    // names them. If it removed them, the next head would name nothing and no instance could read
-    // the settings.
+    // Pruning runs after an operator wrote contents and before the head that references them. If
+    // it removed them, that head would have dangling references and no instance could read the
+    // settings.
     Operator op;
     REQUIRE(op.run({"apply", exampleTree}).exit == CtlExit::Ok);
     const ScratchTree tree;
@@ -278,11 +278,12 @@
     CHECK(op.run({"diff", exampleTree}).exit == CtlExit::Ok);
 }
 
-TEST_CASE("status tells an instance that does not answer from one that is current")
+TEST_CASE("status distinguishes an unresponsive instance from one without current settings")
 {
     Operator op;
-    StandinHost<standin::StandinService> deaf(standin::ServiceOptions{});
-    const CtlReport report = op.run({"status", "--admin", deaf.address() + ",127.0.0.1:1"});
+    StandinHost<standin::StandinService> withoutSettings(standin::ServiceOptions{});
+    const CtlReport report =
+        op.run({"status", "--admin", withoutSettings.address() + ",127.0.0.1:1"});
     CHECK(report.exit == CtlExit::Differences);
     REQUIRE(report.json["instances"].size() == 2);
     CHECK(report.json["instances"][0]["answers"] == true);
--- a/modules/ctl/commands/InstanceCommands.cpp
+++ b/modules/ctl/commands/InstanceCommands.cpp
@@ -8,7 +8,7 @@
 
 using Json = nlohmann::json;
 
-constexpr const char *unansweredText = "no answer";
+constexpr const char *noResponseText = "no answer";
 
 PlatformCall adminCall(const std::string &address, const std::string &method,
                        const std::string &target)
@@ -20,7 +20,7 @@
     return call;
 }
 
-/** What one instance said of itself. */
+/** Returns an instance's row of the status report, from its state response. */
 Json statusRow(const std::string &address, const PlatformAnswer &answer, std::uint64_t generation)
 {
     Json row = {{"admin", address}, {"answers", answer.isSuccess()}, {"current", false}};
@@ -29,11 +29,11 @@
         return row;
     row["instance"] = state.value("/instance/id"_json_pointer, "");
     row["stopping"] = state.value("stopping", false);
-    const Json::json_pointer inForce("/settings/generation");
-    if (!state.contains(inForce) || !state[inForce].is_number_unsigned())
+    const Json::json_pointer generationPath("/settings/generation");
+    if (!state.contains(generationPath) || !state[generationPath].is_number_unsigned())
         return row;
-    row["generation"] = state[inForce];
-    row["current"] = state[inForce] == generation;
+    row["generation"] = state[generationPath];
+    row["current"] = state[generationPath] == generation;
     return row;
 }
 
@@ -42,7 +42,7 @@
     const std::string name = row.value("instance", std::string());
     std::string line = row["admin"].get<std::string>() + "  " + name + "  ";
     if (!row["answers"].get<bool>())
-        return line + unansweredText + "\n";
+        return line + noResponseText + "\n";
     line += row.contains("generation") ? "generation " + row["generation"].dump() : "no generation";
     line += row["current"].get<bool>() ? "  current" : "  NOT current";
     if (row["stopping"].get<bool>())
@@ -52,8 +52,8 @@
 
 } // namespace
 
-PlatformAnswer InstanceCommands::ask(const std::string &address, const std::string &method,
-                                     const std::string &target)
+PlatformAnswer InstanceCommands::callInstance(const std::string &address, const std::string &method,
+                                              const std::string &target)
 {
     return loop_.await<PlatformAnswer>([&](PlatformCompletion done) {
         loop_.client().call(adminCall(address, method, target), std::move(done));
@@ -62,7 +62,7 @@
 
 CtlReport InstanceCommands::drain()
 {
-    const PlatformAnswer answer = ask(arguments_.operands.front(), "POST", "/drain");
+    const PlatformAnswer answer = callInstance(arguments_.operands.front(), "POST", "/drain");
     if (!answer.isSuccess())
         return failure(CtlExit::Unavailable,
                        {arguments_.operands.front(),
@@ -75,10 +75,10 @@
 
 CtlReport InstanceCommands::state()
 {
-    const PlatformAnswer answer = ask(arguments_.operands.front(), "GET", "/state");
+    const PlatformAnswer answer = callInstance(arguments_.operands.front(), "GET", "/state");
     const Json state = Json::parse(answer.body, nullptr, false);
     if (!answer.isSuccess() || !state.is_object())
-        return failure(CtlExit::Unavailable, {arguments_.operands.front(), unansweredText});
+        return failure(CtlExit::Unavailable, {arguments_.operands.front(), noResponseText});
     CtlReport report;
     report.json = state;
     report.text = state.dump(2) + "\n";
@@ -91,7 +91,8 @@
     const auto stored = repository.load(&reason);
     if (!stored)
         return failure(CtlExit::Unavailable, reason);
-    // All are asked at once: one after the other, a few silent ones would take all the time.
+    // Instances are queried in parallel: in sequence, the time-outs of a few unresponsive ones
+    // would add up.
     std::vector<std::promise<PlatformAnswer>> answers(arguments_.admins.size());
     loop_.post([&] {
         for (std::size_t i = 0; i < answers.size(); ++i)
--- a/modules/ctl/commands/SettingsCommands.cpp
+++ b/modules/ctl/commands/SettingsCommands.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr int maxConflicts = 5;
+constexpr int maxEditAttempts = 5;
 
-std::vector<Reason> revivalMistakes(const SettingsSubtrees &older, const SettingsSubtrees &newer)
+std::vector<Reason> revivedKeyMistakes(const SettingsSubtrees &older, const SettingsSubtrees &newer)
 {
     std::vector<Reason> mistakes;
     for (const std::string &hash : revivedKeys(older, newer))
@@ -18,8 +18,8 @@
     return mistakes;
 }
 
-SettingsSubtrees merged(const SettingsSubtrees &stored, const SettingsSubtrees &directory,
-                        bool isWhole)
+SettingsSubtrees mergedSettings(const SettingsSubtrees &stored, const SettingsSubtrees &directory,
+                                bool isWhole)
 {
     SettingsSubtrees wanted;
     if (!isWhole)
@@ -41,12 +41,13 @@
     const auto stored = repository_.load(&reason);
     if (!stored)
         return failure(CtlExit::Unavailable, reason);
-    const SettingsSubtrees wanted = merged(stored->subtrees, *directory, arguments_.isWhole);
-    // Checked as the tree that would be in force, not as the directory alone: a team's directory
-    // may name a model that another subtree defines, or lose the one that others still name.
+    const SettingsSubtrees wanted =
+        mergedSettings(stored->subtrees, *directory, arguments_.isWhole);
+    // Validates the merged tree, not the directory alone: a team's directory may reference
+    // a model that another subtree defines, or lack one that other subtrees still reference.
     if (!readSettings(wanted, &mistakes))
         return refusal(mistakes);
-    mistakes = revivalMistakes(stored->subtrees, wanted);
+    mistakes = revivedKeyMistakes(stored->subtrees, wanted);
     if (!mistakes.empty())
         return refusal(mistakes);
     CtlReport report;
@@ -104,7 +105,7 @@
 CtlReport SettingsCommands::edit(const Edit &change)
 {
     CtlReport report;
-    for (int attempt = 0; attempt < maxConflicts; ++attempt) {
+    for (int attempt = 0; attempt < maxEditAttempts; ++attempt) {
         Reason reason;
         const auto stored = repository_.load(&reason);
         if (!stored)
@@ -146,7 +147,7 @@
     report.json["sha256"] = entry.hash.toHex();
     if (report.exit != CtlExit::Ok || arguments_.readsKey)
         return report;
-    // The one time that the key is shown; the store has its hash alone.
+    // The key is shown only here; the store has nothing but its hash.
     report.json["key"] = *key;
     report.text += "key: " + *key + "\n";
     return report;
--- a/modules/ctl/ctl.h
+++ b/modules/ctl/ctl.h
@@ -1,10 +1,11 @@
 #pragma once
 
 /**
-    What operators' command line does: settings from a directory into the store, keys, instances.
+    Operators' command line tool: applies settings directories to the store, manages keys, queries
+    instances.
 
-    Purpose: check a tree whole and together with what the store holds, show it as a diff, put it
-    in force as one set or not at all, tell conflicts; edit keys; ask and drain instances.
+    Purpose: validate a settings tree merged with the stored settings, show the difference, apply
+    it atomically, report conflicts; add and withdraw keys; query and drain instances.
 
     Depends on: core, ports, settings, identity, runtime, platform, cxxopts.
 */
--- a/modules/ctl/explain/LoadSummary.cpp
+++ b/modules/ctl/explain/LoadSummary.cpp
@@ -18,20 +18,20 @@
     return found != json.end() && found->is_string() ? found->get<std::string>() : std::string();
 }
 
-/** Returns a figure of a line, or the other value where the line has none. */
-double numberIn(const Json &json, const char *name, double otherwise)
+/** Returns a numeric field of a log line, or the fallback if the field is missing. */
+double numberIn(const Json &json, const char *name, double fallback)
 {
     const std::string text = textIn(json, name);
-    return text.empty() ? otherwise : std::strtod(text.c_str(), nullptr);
+    return text.empty() ? fallback : std::strtod(text.c_str(), nullptr);
 }
 
-double quantile(std::vector<double> values, double part)
+double quantile(std::vector<double> values, double fraction)
 {
     if (values.empty())
         return 0;
     std::sort(values.begin(), values.end());
-    const auto place = static_cast<std::size_t>(part * static_cast<double>(values.size()));
-    return values[std::min(place, values.size() - 1)];
+    const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
+    return values[std::min(index, values.size() - 1)];
 }
 
 std::string stepLine(const char *name, const std::vector<RequestSteps> &steps,
@@ -71,12 +71,12 @@
         if (!route.empty())
             request.route = route;
         if (event == "request-held") {
-            request.wasHeld = true;
+            request.wasDeferred = true;
         } else if (event == "request-placed") {
             ++request.sends;
             if (request.firstPlacedAt < 0)
                 request.firstPlacedAt = elapsed;
-            (textIn(json, "step") == "prefill" ? request.readAt : request.ranAt) = elapsed;
+            (textIn(json, "step") == "prefill" ? request.prefillAt : request.runAt) = elapsed;
         } else if (event == "request-served" || event == "request-refused"
                    || event == "request-failed" || event == "caller-left") {
             request.end = event;
@@ -97,25 +97,25 @@
         return steps;
     }
     steps.held = request.firstPlacedAt;
-    const bool wasReadApart = request.readAt >= 0;
-    const double ranAt = request.ranAt < 0 ? first : request.ranAt;
-    if (wasReadApart)
-        steps.read = std::max(0.0, ranAt - request.firstPlacedAt);
-    const double runFrom = wasReadApart ? ranAt : request.firstPlacedAt;
-    steps.run = std::max(0.0, first - runFrom);
+    const bool hasSeparatePrefill = request.prefillAt >= 0;
+    const double runAt = request.runAt < 0 ? first : request.runAt;
+    if (hasSeparatePrefill)
+        steps.read = std::max(0.0, runAt - request.firstPlacedAt);
+    const double runStartedAt = hasSeparatePrefill ? runAt : request.firstPlacedAt;
+    steps.run = std::max(0.0, first - runStartedAt);
     return steps;
 }
 
-std::string LoadSummaryReader::lossOf(const Request &request, const RequestSteps &steps)
+std::string LoadSummaryReader::lossCause(const Request &request, const RequestSteps &steps)
 {
     if (request.end == "request-refused")
         return "refused: " + request.cause;
     if (request.end == "request-failed")
         return "failed: " + request.cause;
-    // The longest step is where the time went.
+    // The loss is attributed to the longest step.
     const char *const step = request.firstPlacedAt < 0      ? "kept back"
         : steps.held > steps.read && steps.held > steps.run ? "kept back"
-        : request.readAt >= 0 && steps.read > steps.run     ? "read"
+        : request.prefillAt >= 0 && steps.read > steps.run  ? "read"
                                                             : "run";
     if (request.end == "caller-left")
         return std::string("caller left: ") + step;
@@ -143,7 +143,7 @@
         if (isServed && (request.lateness.empty() || request.lateness == "no"))
             ++route.onTime;
         else
-            ++route.lost[lossOf(request, steps)];
+            ++route.lost[lossCause(request, steps)];
     }
     return summary;
 }
--- a/modules/ctl/explain/LoadSummary.h
+++ b/modules/ctl/explain/LoadSummary.h
@@ -8,40 +8,40 @@
 
 namespace cuminrail {
 
-/** The steps of a request's way to its first event, in milliseconds. */
+/** Time a request spent in each step up to its first event, in milliseconds. */
 struct RequestSteps
 {
-    /** Kept back at the instance. */
+    /** Deferred at the instance. */
     double held = 0;
-    /** At the engine that reads the prompt. */
+    /** At the prefill engine. */
     double read = 0;
-    /** From there to the first event; for all else, the whole time at the upstream. */
+    /** From prefill to the first event; without separate prefill, all time at the upstream. */
     double run = 0;
 };
 
-/** The requests of one route, each counted once: the counts of causes add up to all of them. */
+/** The requests of one route. Each counts once: onTime and the counts in lost add up to asked. */
 struct RouteSummary
 {
     int asked = 0;
     int onTime = 0;
-    /** Every other request, by what became of it and the cause: "late: read", "refused: full". */
+    /** Every other request by outcome and cause: "late: read", "refused: full". */
     std::map<std::string, int> lost;
-    /** Steps of the requests that were served. */
+    /** Step times of the served requests. */
     std::vector<RequestSteps> steps;
 };
 
-/** What instances' logs say of all requests. */
+/** Summary of all requests found in the logs of instances. */
 struct LoadSummary
 {
     std::map<std::string, RouteSummary> routes;
-    /** Requests without a last line: under way, or the line was left out. */
+    /** Requests without a final log line: still in progress, or the line was dropped. */
     int withoutEnd = 0;
-    /** Lines that are no JSON object, and notices that lines were left out. */
+    /** Lines that are not a JSON object, and notices that log lines were dropped. */
     std::size_t unreadable = 0;
     std::size_t gaps = 0;
 };
 
-/** Collects requests from logs of gateways; one request's lines may stand in several logs. */
+/** Collects requests from gateway logs; the lines of one request may be spread over several. */
 class LoadSummaryReader
 {
 public:
@@ -49,15 +49,15 @@
     LoadSummary summary() const;
 
 private:
-    /** What is known of a request so far. Times since it came, in milliseconds. */
+    /** State of a request as read so far. Times are in milliseconds since its arrival. */
     struct Request
     {
         std::string route;
         double firstPlacedAt = -1;
-        double readAt = -1;
-        double ranAt = -1;
+        double prefillAt = -1;
+        double runAt = -1;
         int sends = 0;
-        bool wasHeld = false;
+        bool wasDeferred = false;
         std::string end;
         std::string lateness;
         std::string cause;
@@ -66,14 +66,14 @@
     };
 
     static RequestSteps stepsOf(const Request &request);
-    static std::string lossOf(const Request &request, const RequestSteps &steps);
+    static std::string lossCause(const Request &request, const RequestSteps &steps);
 
     std::map<std::string, Request> requests_;
     std::size_t unreadable_ = 0;
     std::size_t gaps_ = 0;
 };
 
-/** Returns the summary for people: for each route its losses by cause, and the steps' times. */
+/** Returns the summary as text: losses by cause and quantiles of the step times per route. */
 std::string summaryText(const LoadSummary &summary);
 
 } // namespace cuminrail
--- a/modules/ctl/explain/LoadSummary_test.cpp
+++ b/modules/ctl/explain/LoadSummary_test.cpp
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("each request is counted once, under the step that took longest")
+TEST_CASE("each request is counted once, under its longest step")
 {
     struct Row
     {
@@ -49,13 +49,13 @@
     const Row rows[] = {
         {"on time", placed("r", "prefill", 0) + placed("r", "run", 200) + served("r", 250, "no"),
          ""},
-        {"a busy reader",
+        {"busy prefill engine",
          placed("r", "prefill", 1) + placed("r", "run", 1500) + served("r", 1600, "first-event"),
          "late: read"},
-        {"fetched late",
+        {"slow run",
          placed("r", "prefill", 1) + placed("r", "run", 300) + served("r", 1600, "first-event"),
          "late: run"},
-        {"kept back",
+        {"deferred at the instance",
          line("request-held", "r", "") + placed("r", "prefill", 900) + placed("r", "run", 1100)
              + served("r", 1200, "first-event"),
          "late: kept back"},
@@ -64,10 +64,10 @@
          "refused: overload"},
         {"failed", placed("r", "run", 0) + line("request-failed", "r", R"(,"cause":"broken")"),
          "failed: broken"},
-        {"left while it was kept back",
+        {"caller left while the request was deferred",
          line("request-held", "r", "") + line("caller-left", "r", R"(,"elapsed_ms":"3200")"),
          "caller left: kept back"},
-        {"left while it was read",
+        {"caller left during prefill",
          placed("r", "prefill", 0) + line("caller-left", "r", R"(,"elapsed_ms":"3200")"),
          "caller left: read"},
     };
@@ -80,11 +80,12 @@
         CHECK(route.lost.size() == (*row.loss == '\0' ? 0 : 1));
         if (*row.loss != '\0')
             CHECK(route.lost.count(row.loss) == 1);
-        std::string own = row.log;
+        std::string renumbered = row.log;
         const std::string id = "\"request\":\"r\"";
-        for (auto at = own.find(id); at != std::string::npos; at = own.find(id, at + 1))
-            own.insert(at + id.size() - 1, std::to_string(&row - rows));
-        all += own;
+        for (auto at = renumbered.find(id); at != std::string::npos;
+             at = renumbered.find(id, at + 1))
+            renumbered.insert(at + id.size() - 1, std::to_string(&row - rows));
+        all += renumbered;
     }
     const RouteSummary route = summaryOf(all).routes.at("review");
     const int lost = std::accumulate(route.lost.begin(), route.lost.end(), 0,
@@ -93,7 +94,7 @@
     CHECK(route.onTime + lost == route.asked);
 }
 
-TEST_CASE("what the logs lack is said")
+TEST_CASE("dropped, unreadable and missing final log lines are reported")
 {
     const LoadSummary summary =
         summaryOf("no json\n" + placed("r", "run", 0)
--- a/modules/ctl/explain/RequestStory.cpp
+++ b/modules/ctl/explain/RequestStory.cpp
@@ -22,9 +22,9 @@
 {
     StoryLine line{textIn(json, "ts"), textIn(json, "instance"), textIn(json, "name"), {}};
     for (const auto &[name, value] : json.items()) {
-        const bool isHeading = name == "ts" || name == "instance" || name == "name"
+        const bool isCommonField = name == "ts" || name == "instance" || name == "name"
             || name == "event" || name == "level" || name == "request";
-        if (isHeading || !value.is_string() || value.get<std::string>().empty())
+        if (isCommonField || !value.is_string() || value.get<std::string>().empty())
             continue;
         line.details += (line.details.empty() ? "" : " ") + name + "=" + value.get<std::string>();
     }
@@ -40,8 +40,8 @@
     return line.details.substr(begin, line.details.find(' ', begin) - begin);
 }
 
-/** What the last line means to whoever asks. */
-std::string conclusion(const StoryLine &last)
+/** Describes the outcome that the last line of a request states. */
+std::string outcomeText(const StoryLine &last)
 {
     const std::string verdict = valueOf(last, "verdict");
     const std::string ran = verdict == "not-run" ? "it did not run and may be sent again"
@@ -93,7 +93,7 @@
     if (story.lines.empty())
         text += "no line of these logs names the request\n";
     else
-        text += "=> " + conclusion(story.lines.back()) + "\n";
+        text += "=> " + outcomeText(story.lines.back()) + "\n";
     if (story.gaps > 0)
         text += "some lines were left out of these logs (" + std::to_string(story.gaps)
             + " notices): the story may lack steps\n";
--- a/modules/ctl/explain/RequestStory.h
+++ b/modules/ctl/explain/RequestStory.h
@@ -7,7 +7,7 @@
 
 namespace cuminrail {
 
-/** One line of a request's story. */
+/** One log line of a request. */
 struct StoryLine
 {
     std::string time;
@@ -17,20 +17,21 @@
     std::string details;
 };
 
-/** What several instances' logs say of one request. */
+/** The log lines of one request from the logs of several instances. */
 struct RequestStory
 {
     std::vector<StoryLine> lines;
-    /** Lines that are no JSON object, for instance cut ones. */
+    /** Lines that are not a JSON object, for example truncated ones. */
     std::size_t unreadable = 0;
-    /** Lines that say that others were left out; the story may lack some. */
+    /** Notices that log lines were dropped, so lines of this request may be missing. */
     std::size_t gaps = 0;
 };
 
 /**
-    Collects a request's lines from logs of gateways, in the order of their times.
+    Collects the lines of a request from gateway logs, sorted by timestamp.
 
-    Clocks of two machines differ; lines of one instance always stay in the order of its log.
+    Clocks of different machines may differ, so lines of two instances may be out of order. The
+    lines of one instance stay in the order of its log.
 */
 class StoryReader
 {
@@ -45,7 +46,7 @@
     RequestStory story_;
 };
 
-/** Returns the story for people: a line each, and a last one that says what it comes to. */
+/** Returns the request's log lines as text, followed by a line that states the outcome. */
 std::string storyText(const RequestStory &story);
 
 } // namespace cuminrail
--- a/modules/ctl/explain/RequestStory_test.cpp
+++ b/modules/ctl/explain/RequestStory_test.cpp
@@ -18,7 +18,7 @@
 
 } // namespace
 
-TEST_CASE("a request's lines of several logs come in order, and others' do not come")
+TEST_CASE("lines of a request from several logs are sorted by time, other requests are left out")
 {
     StoryReader reader("r-1");
     std::istringstream first(line("01.000", "i-1", "request-placed", "r-1", R"(,"upstream":"u-1")")
@@ -35,13 +35,13 @@
     CHECK(storyText(story).find("=> failed; it may have run") != std::string::npos);
 }
 
-TEST_CASE("every end has a meaning")
+TEST_CASE("each final event is described by its outcome")
 {
     struct Row
     {
         const char *event;
         const char *verdict;
-        const char *meaning;
+        const char *outcome;
     };
     for (const Row &row :
          {Row{"request-refused", "not-run", "refused with 5; it did not run and may be sent again"},
@@ -54,13 +54,13 @@
             line("01.000", "i", row.event, "r",
                  std::string(R"(,"status":"5","verdict":")") + row.verdict + "\""));
         reader.read(log);
-        CHECK(storyText(reader.story()).find(row.meaning) != std::string::npos);
+        CHECK(storyText(reader.story()).find(row.outcome) != std::string::npos);
     }
 }
 
-// A log was cut, or lines were left out under load. Whoever reads the story must know that it may
-// lack steps, instead of taking it for whole.
-TEST_CASE("gaps and unreadable lines are told")
+// A log is truncated, or the gateway dropped lines under load. The text must say that lines may be
+// missing, or it would be taken as complete.
+TEST_CASE("dropped and unreadable lines are reported")
 {
     StoryReader reader("r");
     std::istringstream log(line("01.000", "i", "log-lines-dropped", "") + "{\"ts\":\"2026\n\nno\n");
--- a/modules/ctl/settings/KeyEdit.cpp
+++ b/modules/ctl/settings/KeyEdit.cpp
@@ -23,7 +23,7 @@
     return subtree.is_object() ? subtree.value("keys", Json::array()) : Json::array();
 }
 
-std::set<std::string> hashes(const SettingsSubtrees &subtrees, bool areWithdrawn)
+std::set<std::string> keyHashes(const SettingsSubtrees &subtrees, bool areWithdrawn)
 {
     std::set<std::string> found;
     for (const auto &[name, text] : subtrees) {
@@ -42,8 +42,8 @@
 bool addKey(SettingsSubtrees &subtrees, const NewKey &key, Reason *lastReason)
 {
     const std::string hash = key.hash.toHex();
-    if (hashes(subtrees, true).count(hash) + hashes(subtrees, false).count(hash) > 0)
-        return fail(lastReason, "key", "is in the tree already");
+    if (keyHashes(subtrees, true).count(hash) + keyHashes(subtrees, false).count(hash) > 0)
+        return fail(lastReason, "key", "already exists in the settings");
     const std::string name = kKeysPrefix + key.team.text();
     Json keys = keysOf(subtrees[name]);
     Json entry = {{"sha256", hash}, {"customer", key.customer.text()}};
@@ -69,14 +69,14 @@
         }
         text = Json{{"keys", std::move(keys)}}.dump();
     }
-    return isFound || fail(lastReason, "key", "is not in the tree");
+    return isFound || fail(lastReason, "key", "does not exist in the settings");
 }
 
 std::vector<std::string> revivedKeys(const SettingsSubtrees &older, const SettingsSubtrees &newer)
 {
-    const auto valid = hashes(newer, false);
+    const auto valid = keyHashes(newer, false);
     std::vector<std::string> revived;
-    for (const std::string &hash : hashes(older, true)) {
+    for (const std::string &hash : keyHashes(older, true)) {
         if (valid.count(hash) > 0)
             revived.push_back(hash);
     }
--- a/modules/ctl/settings/KeyEdit.h
+++ b/modules/ctl/settings/KeyEdit.h
@@ -11,7 +11,7 @@
 
 namespace cuminrail {
 
-/** A key that is to be added; only its hash is stored. */
+/** A caller key to add; only its hash is stored. */
 struct NewKey
 {
     TeamId team;
@@ -20,17 +20,17 @@
     KeyHash hash;
 };
 
-/** Adds a key to its team's subtree. Returns false, with a reason, if the hash exists anywhere. */
+/** Adds a key to its team's subtree. Returns false with a reason if any subtree has the hash. */
 bool addKey(SettingsSubtrees &subtrees, const NewKey &key, Reason *lastReason);
 
-/** Marks a key as withdrawn wherever it is. Returns false, with a reason, if there is none. */
+/** Marks a key as withdrawn in all subtrees. Returns false with a reason if it is not found. */
 bool withdrawKey(SettingsSubtrees &subtrees, const KeyHash &hash, Reason *lastReason);
 
 /**
     Returns the hashes of keys that are withdrawn in the older tree and valid in the newer.
 
-    Applying a directory that was checked out before a withdrawal would bring the key back to life,
-    and nobody would notice before its thief uses it.
+    Applying a directory that was checked out before a withdrawal would make the key valid again,
+    unnoticed until whoever stole it uses it.
 */
 std::vector<std::string> revivedKeys(const SettingsSubtrees &older, const SettingsSubtrees &newer);
 
--- a/modules/ctl/settings/SettingsRepository.cpp
+++ b/modules/ctl/settings/SettingsRepository.cpp
@@ -19,7 +19,7 @@
     return KeyHash::of(text).toHex();
 }
 
-bool isNamed(const SettingsHead &head, const std::string &hash)
+bool isReferenced(const SettingsHead &head, const std::string &hash)
 {
     return std::any_of(head.subtrees.begin(), head.subtrees.end(),
                        [&hash](const auto &entry) { return entry.second == hash; });
@@ -63,7 +63,7 @@
             return std::nullopt;
         stored.head = *head;
         stored.headVersion = reply.objects.front().version;
-        // A content may be gone because the head has moved on since; then the head is read again.
+        // A content may have been removed because the head was replaced meanwhile: read it again.
         if (loadContents(stored, lastReason))
             return stored;
     }
@@ -78,7 +78,7 @@
             return fail(lastReason, "platform: " + name, reply.lastReason.toString());
         const std::string &text = reply.objects.front().value;
         if (contentHash(text) != hash)
-            return fail(lastReason, "platform: " + name, "the content is damaged");
+            return fail(lastReason, "platform: " + name, "the content does not match its hash");
         stored.subtrees[name] = text;
     }
     return true;
@@ -99,12 +99,13 @@
     CommitResult result;
     result.status = CommitStatus::Unavailable;
     result.generation = base.head.generation;
-    const Millis began = bootTime();
+    const Millis startedAt = bootTime();
     if (!writeContents(base, head, wanted, &result.lastReason))
         return result;
-    if (bootTime() - began > commitLimit) {
-        // Pruning may count contents that were written so long ago as abandoned.
-        result.lastReason = {"platform", "too slow to write all contents in time"};
+    if (bootTime() - startedAt > commitLimit) {
+        // Pruning may already treat contents that were written this long ago as abandoned.
+        result.lastReason = {"platform",
+                             "writing the contents exceeded the time limit of a commit"};
         return result;
     }
     return writeHead(base, head);
@@ -114,9 +115,9 @@
                                        const SettingsSubtrees &wanted, Reason *lastReason)
 {
     for (const auto &[name, hash] : head.subtrees) {
-        if (isNamed(base.head, hash))
+        if (isReferenced(base.head, hash))
             continue;
-        // Written also if it exists: the new version keeps pruning from removing it meanwhile.
+        // Written even if it exists: its new version prevents concurrent pruning from removing it.
         const StorePut content{settingsContentPath(hash), wanted.at(name), std::nullopt};
         StoreReply reply;
         for (int attempt = 0; attempt < maxAttempts && reply.status != StoreStatus::Ok; ++attempt)
@@ -130,14 +131,14 @@
 CommitResult SettingsRepository::writeHead(const StoredSettings &base, const SettingsHead &head)
 {
     const StorePut write{kSettingsHeadPath, head.toText(), base.headVersion};
-    bool isInDoubt = false;
+    bool isOutcomeUnknown = false;
     CommitResult result;
     for (int attempt = 0; attempt < maxAttempts; ++attempt) {
         const StoreReply written = put(write);
         result.lastReason = written.lastReason;
         if (written.status == StoreStatus::Ok)
             return {CommitStatus::Committed, head.generation, written.version, {}};
-        isInDoubt = isInDoubt || written.status == StoreStatus::Unknown;
+        isOutcomeUnknown = isOutcomeUnknown || written.status == StoreStatus::Unknown;
         if (written.status != StoreStatus::Conflict)
             continue;
         const StoreReply present = get(kSettingsHeadPath);
@@ -154,13 +155,13 @@
                  "expected version " + std::to_string(base.headVersion) + ", found version "
                      + std::to_string(object.version)}};
     }
-    result.status = isInDoubt ? CommitStatus::Unknown : CommitStatus::Unavailable;
+    result.status = isOutcomeUnknown ? CommitStatus::Unknown : CommitStatus::Unavailable;
     return result;
 }
 
-std::optional<std::vector<StoreObject>> SettingsRepository::unnamedContents(Reason *lastReason)
+std::optional<std::vector<StoreObject>> SettingsRepository::unreferencedContents(Reason *lastReason)
 {
-    // The head is read after the list, so that what a writer named in between counts as named.
+    // The head is read after the list, so that contents referenced in between are not removed.
     const StoreReply list = loop_.await<StoreReply>(
         [&](StoreCompletion done) { store_.list(kSettingsContentPrefix, done); });
     const StoreReply head = get(kSettingsHeadPath);
@@ -169,26 +170,26 @@
              (list.status != StoreStatus::Ok ? list : head).lastReason.toString());
         return std::nullopt;
     }
-    const auto read = SettingsHead::fromText(head.objects.front().value, lastReason);
-    if (!read)
+    const auto parsedHead = SettingsHead::fromText(head.objects.front().value, lastReason);
+    if (!parsedHead)
         return std::nullopt;
-    std::vector<StoreObject> unnamed;
+    std::vector<StoreObject> unreferenced;
     const std::size_t prefix = std::string(kSettingsContentPrefix).size();
     for (const StoreObject &object : list.objects) {
-        if (!isNamed(*read, object.path.substr(prefix)))
-            unnamed.push_back(object);
+        if (!isReferenced(*parsedHead, object.path.substr(prefix)))
+            unreferenced.push_back(object);
     }
-    return unnamed;
+    return unreferenced;
 }
 
 PruneResult SettingsRepository::prune(const std::function<void(Millis)> &wait)
 {
     PruneResult result;
-    const auto before = unnamedContents(&result.lastReason);
+    const auto before = unreferencedContents(&result.lastReason);
     if (!before)
         return result;
     wait(pruneWait);
-    const auto after = unnamedContents(&result.lastReason);
+    const auto after = unreferencedContents(&result.lastReason);
     if (!after)
         return result;
     std::set<std::pair<std::string, ObjectVersion>> unchanged;
--- a/modules/ctl/settings/SettingsRepository.h
+++ b/modules/ctl/settings/SettingsRepository.h
@@ -14,7 +14,7 @@
 
 namespace cuminrail {
 
-/** The settings in force, and the version of the head that says so. */
+/** The settings in force and the store's version of the head object that names them. */
 struct StoredSettings
 {
     /** Generation 0 and no subtrees before the first apply. */
@@ -25,11 +25,11 @@
 
 enum class CommitStatus : std::uint8_t {
     Committed,
-    /** Someone else changed the settings since they were read. Nothing of ours is in force. */
+    /** Another writer changed the settings since they were read. This change is not in force. */
     Conflict,
-    /** The store did not take it. Nothing of ours is in force. */
+    /** The store did not accept the write. This change is not in force. */
     Unavailable,
-    /** The store stopped answering in the middle; the change may be in force. */
+    /** The store stopped responding during the write; the change may be in force. */
     Unknown,
 };
 
@@ -43,13 +43,13 @@
 struct CommitResult
 {
     CommitStatus status = CommitStatus::Unknown;
-    /** The generation in force now, as far as it is known. */
+    /** The last known generation in force. */
     std::uint64_t generation = 0;
     ObjectVersion headVersion = 0;
     Reason lastReason;
 };
 
-/** How a pruning went. */
+/** Result of a pruning run. */
 struct PruneResult
 {
     bool isComplete = false;
@@ -59,39 +59,41 @@
 };
 
 /**
-    Reads and changes the settings in the store, as whole sets. @see SettingsHead
+    Reads and replaces the settings in the store as complete sets. @see SettingsHead
 
-    Every call waits for its answer.
+    Every call blocks until the store has responded.
 */
 class SettingsRepository
 {
 public:
     SettingsRepository(ControlLoop &loop, ObjectStore store, RandomHook random);
 
-    /** Reads the set in force; nothing when the store does not answer or holds damaged settings. */
+    /** Reads the set in force; nullopt if the store is unavailable or its settings are damaged. */
     std::optional<StoredSettings> load(Reason *lastReason);
 
     /**
-        Puts a checked set in force if the base is still what is in force.
+        Puts a validated set in force if the base is still the set in force.
 
-        An answer lost after the write took effect is settled by reading back the head's token: a
-        blind repetition would fail its condition and report a conflict with ourselves.
+        If the response is lost after the write took effect, the head is read back and its token
+        compared: a retry alone would fail its version condition and report a conflict with this
+        same commit.
     */
     CommitResult commit(const StoredSettings &base, const SettingsSubtrees &wanted);
 
     /**
-        Removes contents that the head does not name, in two looks with a wait between them.
+        Removes contents that the head does not reference, in two passes with a wait in between.
 
-        A writer writes its contents before the head that names them. Removing what nobody names
-        yet would leave that head pointing at nothing, and no instance could read the settings. So
-        a content is removed only if it was unnamed before the wait and after it, and was not
-        written again in between; writers do not take longer than the wait from contents to head.
+        A writer writes its contents before the head that references them. Removing contents that
+        are not referenced yet would leave that head with dangling references, and no instance
+        could read the settings. So a content is removed only if it is unreferenced both before
+        and after the wait and has not been written in between; writers take less time than the
+        wait from their first content to the head.
     */
     PruneResult prune(const std::function<void(Millis)> &wait);
 
-    /** How long a writer may take from its first content to the head. */
+    /** Maximum time of a writer from its first content to the head. */
     static constexpr Millis commitLimit = Millis::seconds(60);
-    /** How long pruning waits between its two looks. */
+    /** Wait between the two passes of pruning. */
     static constexpr Millis pruneWait = Millis::seconds(120);
 
 private:
@@ -101,7 +103,7 @@
     bool writeContents(const StoredSettings &base, const SettingsHead &head,
                        const SettingsSubtrees &wanted, Reason *lastReason);
     CommitResult writeHead(const StoredSettings &base, const SettingsHead &head);
-    std::optional<std::vector<StoreObject>> unnamedContents(Reason *lastReason);
+    std::optional<std::vector<StoreObject>> unreferencedContents(Reason *lastReason);
     std::string makeToken();
 
     ControlLoop &loop_;
@@ -109,7 +111,7 @@
     RandomHook random_;
 };
 
-/** Returns a subtree's text in one form, so that white space makes no difference. */
+/** Returns a subtree's text in canonical form, so that white space does not matter. */
 std::string canonicalSubtree(const std::string &text);
 
 } // namespace cuminrail
--- a/modules/ctl/settings/TreeFiles.h
+++ b/modules/ctl/settings/TreeFiles.h
@@ -8,7 +8,7 @@
 
 namespace cuminrail {
 
-/** Reads a directory's subtrees as they stand, or lists what is wrong with the files. */
+/** Reads the subtrees of a directory unchanged, or lists the mistakes found in its files. */
 std::optional<SettingsSubtrees> readTreeFiles(const std::string &directory,
                                               std::vector<Reason> *mistakes);
 
