--- a/programs/cuminrail-bench/AuthorityCommand.cpp
+++ b/programs/cuminrail-bench/AuthorityCommand.cpp
@@ -29,7 +29,7 @@
 }
 
 /** Reads "e1=127.0.0.1:8000" or, for an engine that checks fences, "e1=127.0.0.1:8000=fence". */
-HolderEngine fetchEngineReport(const std::string &text)
+HolderEngine readEngine(const std::string &text)
 {
     const auto parts = split(text, '=');
     if (parts.size() < 2)
@@ -83,7 +83,7 @@
     for (const std::string &member : split(flags["members"].as<std::string>(), ','))
         holder.members.emplace_back(member);
     for (const std::string &engine : split(flags["engines"].as<std::string>(), ','))
-        holder.engines.push_back(fetchEngineReport(engine));
+        holder.engines.push_back(readEngine(engine));
     holder.seed = flags["seed"].as<std::uint64_t>();
     authoritybench::AuthorityHolder(holder).run();
     return 0;
